--- a/packages/dispatch/src/crashes.cc
+++ b/packages/dispatch/src/crashes.cc
@@ -19,17 +19,19 @@
 
 namespace {
 
-// A lost worker says something of the others of its rack for so long.
-constexpr Millis kLossMemory{15'000};
-// Workers whose connections break within this time are lost together.
-constexpr Millis kOneMoment{60};
-constexpr size_t kSeveral = 2;  // Besides the worker itself.
+// For this time a lost worker is considered when the next losses are judged.
+constexpr Millis kLossRetention{15'000};
+// Workers whose loss is noticed within this time of each other count as lost
+// together.
+constexpr Millis kSimultaneousLoss{60};
+// Other workers lost together with one, for LossScope::kSeveral.
+constexpr size_t kMinOthersLostTogether = 2;
 
 }  // namespace
 
-// The tracked runs that are active on a worker. Looked up by what is committed
-// of it: most workers that end have none, and a walk over all runs for each
-// host that moves would grow with both.
+// Visits the tracked runs that are active on a worker. They are found by the
+// worker's tasks in the ledger: most workers that end have none, and a search
+// of all runs for each host that moves would cost hosts times runs.
 template <typename Visitor>
 void Leadership::VisitRuns(const Ledger& ledger,
                            const Worker& worker,
@@ -46,8 +48,8 @@
   }
 }
 
-// Commits the end of a worker's life, and before it what that says of the tasks
-// that ran there.
+// Adds the records that end a worker's incarnation: first the crash with its
+// suspected tasks, then the end itself.
 void Leadership::EndWorker(const Ledger& ledger,
                            const Worker& worker,
                            const char* why,
@@ -62,17 +64,17 @@
   }
   line.With("runs", static_cast<uint64_t>(worker.active.size()));
   DecisionLog::Get().Write(line);
-  TellLostRuns(ledger, worker, "worker-gone");
-  Blame(ledger, worker, LostRuns(ledger, worker),
-        link.is_reached ? std::optional(WhenLost(link)) : std::nullopt,
-        records);
+  LogLostRuns(ledger, worker, "worker-gone");
+  RecordCrash(ledger, worker, LostRuns(ledger, worker),
+              link.is_reached ? std::optional(LossTimeOf(link)) : std::nullopt,
+              records);
   records.emplace_back(scheduling::LifeEnded{worker.info.id, link.born});
 }
 
-// What is kept of a worker counts for one life: its clock, its lease, the ends
-// that it was told as seen. Orders to it from here on have a higher fence, so
-// that none that was meant for the life before is carried out after the first
-// of them.
+// Replaces the link of a worker that has restarted. Its clock, its lease and
+// the ends acknowledged to it belong to one incarnation. Orders to the new one
+// have a higher fence, so that no order meant for the previous incarnation is
+// carried out after the first of them.
 void Leadership::BeginLife(const Ledger& ledger,
                            const std::string& worker,
                            WorkerLink& link,
@@ -95,7 +97,7 @@
   next.is_lapse_under_way = link.is_lapse_under_way;
   next.is_unjudged = true;
   if (link.is_reached) {
-    next.loss_before = WhenLost(link);
+    next.previous_loss = LossTimeOf(link);
   }
   if (known != nullptr) {
     next.lapsed_runs = LostRuns(ledger, *known);
@@ -113,8 +115,9 @@
   link = std::move(next);
 }
 
-// What ran in the life before, and is not listed by this one, went down with
-// it. Judged once, with the first list of the new life.
+// Runs of the previous incarnation that the new one does not list were lost
+// with it. Their crash is recorded once, with the first list of the new
+// incarnation.
 void Leadership::BlameForBirth(const Ledger& ledger,
                                const Worker& worker,
                                const HoldReply& reply,
@@ -127,14 +130,18 @@
   std::vector<LostRun> lost = is_seen ? std::exchange(link.lapsed_runs, {})
                                       : OutlivedRuns(ledger, worker);
   std::erase_if(lost, [&reply](const LostRun& run) {
-    const auto is_it = [&run](const auto& row) { return row.task == run.task; };
-    return std::any_of(reply.running.begin(), reply.running.end(), is_it) ||
-           std::any_of(reply.ended.begin(), reply.ended.end(), is_it);
+    const auto is_same_task = [&run](const auto& row) {
+      return row.task == run.task;
+    };
+    return std::any_of(reply.running.begin(), reply.running.end(),
+                       is_same_task) ||
+           std::any_of(reply.ended.begin(), reply.ended.end(), is_same_task);
   });
-  Blame(ledger, worker, lost, link.loss_before, records);
+  RecordCrash(ledger, worker, lost, link.previous_loss, records);
 }
 
-// Of a birth that an earlier leader saw and did not judge.
+// Runs lost in a restart that an earlier leader saw, but whose crash it did not
+// record.
 std::vector<LostRun> Leadership::OutlivedRuns(const Ledger& ledger,
                                               const Worker& worker) {
   std::vector<LostRun> runs;
@@ -156,23 +163,25 @@
   return runs;
 }
 
-// Whether its host was taken down while it was well.
-bool Leadership::IsTakenDown(const Worker& worker) const {
+// Whether this leader's maintenance or move took the worker's host down before
+// the worker was found lost.
+bool Leadership::IsPlannedShutdown(const Worker& worker) const {
   const SteadyTime lost_at = m_links.at(worker.info.id).lost_at;
-  const auto is_by = [&](const WorkerLife& life, SteadyTime acted_at) {
+  const auto is_ended_by = [&](const WorkerLife& life, SteadyTime acted_at) {
     return acted_at != SteadyTime() && life.IsSame(worker) &&
            (lost_at == SteadyTime() || lost_at >= acted_at);
   };
   const auto maintained = m_hosts.find(worker.info.host);
   const auto moved = m_moves.find(worker.info.host);
   return (maintained != m_hosts.end() &&
-          is_by(maintained->second.life_before, maintained->second.acted_at)) ||
+          is_ended_by(maintained->second.life_before,
+                      maintained->second.acted_at)) ||
          (moved != m_moves.end() &&
-          is_by(moved->second.life_before, moved->second.acted_at));
+          is_ended_by(moved->second.life_before, moved->second.acted_at));
 }
 
-// Whether it said that it would leave, or its host has been moved by whomever.
-// It may have gone down before all the same.
+// Whether the worker announced that it is draining, or its host now serves
+// another service, whoever moved it. The worker may still have crashed before.
 bool Leadership::MayHaveLeft(const Ledger& ledger, const Worker& worker) const {
   const auto& lives = ledger.WorkersOn(worker.info.host);
   return worker.info.is_draining ||
@@ -181,18 +190,18 @@
          });
 }
 
-std::vector<CrashSuspect> Leadership::Judge(const Ledger& ledger,
-                                            const Worker& worker,
-                                            const std::vector<LostRun>& runs,
-                                            LossScope scope) const {
-  const bool is_taken_down = IsTakenDown(worker);
+std::vector<CrashSuspect> Leadership::ClassifySuspects(
+    const Ledger& ledger,
+    const Worker& worker,
+    const std::vector<LostRun>& runs,
+    LossScope scope) const {
+  const bool is_planned = IsPlannedShutdown(worker);
   const bool may_have_left = MayHaveLeft(ledger, worker);
   std::vector<LostRun> open;
   std::vector<CrashSuspect> suspects;
   for (const LostRun& run : runs) {
     const bool is_at_work = run.seen_at_work >= scheduling::kSeenAtWork;
-    if (!run.may_have_started || is_taken_down ||
-        (may_have_left && is_at_work)) {
+    if (!run.may_have_started || is_planned || (may_have_left && is_at_work)) {
       suspects.push_back({run.task, Suspicion::kExcused});
     } else {
       open.push_back(run);
@@ -203,60 +212,62 @@
   return suspects;
 }
 
-// Commits what a look shows of runs that have worked for long, so that the next
-// leader knows it too. Only where it matters: for those that stand beside
-// others all day, and those that are suspected.
+// Records that listed runs have worked for long, so that the next leader knows
+// it too. Only persistent runs, which run beside others all day, and runs of
+// tasks with crashes need it.
 void Leadership::ProveRuns(const Ledger& ledger,
                            const HoldReply& reply,
                            Records& records) {
   for (const RunningRun& running : reply.running) {
     const auto found = m_runs.find({running.task, running.run});
-    if (found == m_runs.end() || found->second.is_proof_under_way ||
+    if (found == m_runs.end() || found->second.is_proof_pending ||
         found->second.SeenAtWork() < scheduling::kWorksWell) {
       continue;
     }
     const Job* found_job = ledger.FindJob(running.task.job);
     if (found_job == nullptr || !found_job->Holds(running.task)) {
-      continue;  // Not known: it is being stopped.
+      continue;  // Not in the ledger: it is being stopped.
     }
     const Job& job = *found_job;
     const Task& task = job.tasks[job.IndexOf(running.task)];
     if (job.spec.steps[running.task.step].is_persistent ||
         !task.crashed.empty()) {
-      found->second.is_proof_under_way = true;
+      found->second.is_proof_pending = true;
       records.emplace_back(scheduling::RunProven{running.task, running.run});
     }
   }
 }
 
-// What was at work there, and what its lease had run out on before.
+// The runs active on the worker, and those whose lease expired there before.
 std::vector<LostRun> Leadership::LostRuns(const Ledger& ledger,
                                           const Worker& worker) const {
   const WorkerLink& link = m_links.at(worker.info.id);
-  const SteadyTime lost_by = WhenLost(link).lost_by;
+  const SteadyTime lost_by = LossTimeOf(link).lost_by;
   std::vector<LostRun> runs = link.lapsed_runs;
   if (runs.empty() && !link.is_reached) {
-    // They lapsed under an earlier leader, which knew more of them.
+    // They lapsed under an earlier leader, so nothing more is known of them
+    // here.
     for (const scheduling::TaskId& task : worker.lapsed) {
       runs.push_back({task});
     }
   }
   VisitRuns(ledger, worker, [&](const RunKey& key, const RunTrack& track) {
-    const bool is_told =
+    const bool is_in_runs =
         std::any_of(runs.begin(), runs.end(),
                     [&key](const auto& run) { return run.task == key.task; });
-    if (is_told) {
+    if (is_in_runs) {
       return;
     }
     const bool may_have_started =
         track.start != StartStage::kRetry || track.may_be_on_its_way;
-    const bool is_ours = track.begun_at != SteadyTime();
+    const bool is_own_start = track.begun_at != SteadyTime();
     LostRun& run = runs.emplace_back();
     run.task = key.task;
     run.may_have_started = may_have_started;
-    run.seen_at_work = std::max(track.SeenAtWork(), WithoutEnd(link, track));
-    run.lived = is_ours ? std::chrono::floor<Millis>(lost_by - track.begun_at)
-                        : Millis::max();
+    run.seen_at_work = std::max(track.SeenAtWork(), MinRunTime(link, track));
+    run.lived = is_own_start
+                    ? std::chrono::floor<Millis>(lost_by - track.begun_at)
+                    : Millis::max();
     run.has_started = track.work_since != SteadyTime();
     const Job& job = *ledger.FindJob(key.task.job);
     run.is_persistent = job.spec.steps[key.task.step].is_persistent;
@@ -269,41 +280,42 @@
   return runs;
 }
 
-LossTime Leadership::WhenLost(const WorkerLink& link) const {
+LossTime Leadership::LossTimeOf(const WorkerLink& link) const {
   const bool is_noticed = link.lost_at != SteadyTime();
   return {link.last_contact, is_noticed ? link.lost_at : Now()};
 }
 
-// What may have been lost at the moment that a worker was: hosts lately known
-// to be lost, and those that are silent, whatever life answers there since.
-LossScope Leadership::ScopeOf(const Ledger& ledger,
-                              const Worker& worker,
-                              const std::optional<LossTime>& seen) const {
-  if (!seen) {
+// Determines what else was lost with a worker. Counts the hosts lost within
+// kLossRetention and those that are silent now, even if another incarnation
+// answers there since.
+LossScope Leadership::LossScopeOf(const Ledger& ledger,
+                                  const Worker& worker,
+                                  const std::optional<LossTime>& loss) const {
+  if (!loss) {
     return LossScope::kUnknown;
   }
-  const LossTime& when = *seen;
+  const LossTime& own_loss = *loss;
   const std::string& rack = worker.info.rack;
-  std::map<std::string, LossTime> lost_hosts{{worker.info.host, when}};
+  std::map<std::string, LossTime> lost_hosts{{worker.info.host, own_loss}};
   size_t together = 0;
-  const auto add = [&](const std::string& its_rack, const std::string& host,
-                       const LossTime& its_when) {
+  const auto add = [&](const std::string& other_rack, const std::string& host,
+                       const LossTime& other_loss) {
     if (host == worker.info.host) {
       return;
     }
-    const auto apart = its_when.lost_by - when.lost_by;
-    together += std::chrono::abs(apart) <= kOneMoment ? 1 : 0;
-    if (its_rack == rack) {
-      lost_hosts.emplace(host, its_when);
+    const auto apart = other_loss.lost_by - own_loss.lost_by;
+    together += std::chrono::abs(apart) <= kSimultaneousLoss ? 1 : 0;
+    if (other_rack == rack) {
+      lost_hosts.emplace(host, other_loss);
     }
   };
-  for (const LostLife& life : m_lost_lives) {
-    add(life.rack, life.host, life.when);
+  for (const LostWorker& lost : m_lost_workers) {
+    add(lost.rack, lost.host, lost.loss);
   }
   for (const auto& [id, other] : ledger.workers()) {
-    const WorkerLink& its_link = m_links.at(id);
-    if (its_link.is_silent && !its_link.is_gone_under_way) {
-      add(other.info.rack, other.info.host, WhenLost(its_link));
+    const WorkerLink& other_link = m_links.at(id);
+    if (other_link.is_silent && !other_link.is_gone_under_way) {
+      add(other.info.rack, other.info.host, LossTimeOf(other_link));
     }
   }
   const bool is_rack_whole = std::all_of(
@@ -313,49 +325,51 @@
       });
   std::vector<LossTime> of_rack;
   of_rack.reserve(lost_hosts.size());
-  for (const auto& [host, its_when] : lost_hosts) {
-    of_rack.push_back(its_when);
+  for (const auto& [host, other_loss] : lost_hosts) {
+    of_rack.push_back(other_loss);
   }
   if (!rack.empty() && of_rack.size() > 1 && is_rack_whole &&
       scheduling::MayBeOneMoment(of_rack)) {
     return LossScope::kRack;
   }
-  return together >= kSeveral ? LossScope::kSeveral : LossScope::kWorker;
+  return together >= kMinOthersLostTogether ? LossScope::kSeveral
+                                            : LossScope::kWorker;
 }
 
-void Leadership::Blame(const Ledger& ledger,
-                       const Worker& worker,
-                       const std::vector<LostRun>& runs,
-                       const std::optional<LossTime>& when,
-                       Records& records) {
+void Leadership::RecordCrash(const Ledger& ledger,
+                             const Worker& worker,
+                             const std::vector<LostRun>& runs,
+                             const std::optional<LossTime>& loss,
+                             Records& records) {
   scheduling::WorkerCrashed crash;
   crash.worker = worker.info.id;
-  if (IsTakenDown(worker)) {
-    crash.suspects = Judge(ledger, worker, runs, LossScope::kUnknown);
+  if (IsPlannedShutdown(worker)) {
+    crash.suspects =
+        ClassifySuspects(ledger, worker, runs, LossScope::kUnknown);
     records.emplace_back(std::move(crash));
     return;
   }
   ++m_counters.crashes;
-  const LossScope scope = ScopeOf(ledger, worker, when);
-  while (!m_lost_lives.empty() &&
-         Now() - m_lost_lives.front().when.lost_by > kLossMemory) {
-    m_lost_lives.pop_front();
+  const LossScope scope = LossScopeOf(ledger, worker, loss);
+  while (!m_lost_workers.empty() &&
+         Now() - m_lost_workers.front().loss.lost_by > kLossRetention) {
+    m_lost_workers.pop_front();
   }
-  if (when) {
-    m_lost_lives.push_back({worker.info.rack, worker.info.host, *when});
+  if (loss) {
+    m_lost_workers.push_back({worker.info.rack, worker.info.host, *loss});
   }
-  crash.suspects = Judge(ledger, worker, runs, scope);
+  crash.suspects = ClassifySuspects(ledger, worker, runs, scope);
   DecisionLog::Get().Write(
       DecisionLine("dispatch", "worker-crashed")
           .With("worker", crash.worker)
           .With("lost_with_it", LossScopeName(scope))
           .With("runs", static_cast<uint64_t>(crash.suspects.size())));
-  TellSuspects(ledger, crash);
+  LogSuspects(ledger, crash);
   records.emplace_back(std::move(crash));
 }
 
-void Leadership::TellSuspects(const Ledger& ledger,
-                              const scheduling::WorkerCrashed& crash) {
+void Leadership::LogSuspects(const Ledger& ledger,
+                             const scheduling::WorkerCrashed& crash) {
   for (const CrashSuspect& suspect : crash.suspects) {
     const Job* job = ledger.FindJob(suspect.task.job);
     if (job == nullptr || job->is_over() ||
@@ -388,10 +402,10 @@
   }
 }
 
-// What ran on a worker to the end of its life, or of its lease.
-void Leadership::TellLostRuns(const Ledger& ledger,
-                              const Worker& worker,
-                              const char* how) const {
+// Logs the runs that end with a worker's incarnation or lease.
+void Leadership::LogLostRuns(const Ledger& ledger,
+                             const Worker& worker,
+                             const char* how) const {
   VisitRuns(ledger, worker, [&](const RunKey& key, const RunTrack& track) {
     DecisionLog::Get().Write(DecisionLine("dispatch", "end", LineClass::kTask)
                                  .With("task", FormatTaskId(key.task))
@@ -402,9 +416,9 @@
   });
 }
 
-// How long a run has lasted for sure: an end is told at once, and the worker
-// was heard of later than its start.
-Millis Leadership::WithoutEnd(const WorkerLink& link, const RunTrack& track) {
+// The time that a run has lasted at least. Workers report an end at once, so a
+// run without a reported end was still running at the worker's last contact.
+Millis Leadership::MinRunTime(const WorkerLink& link, const RunTrack& track) {
   const bool has_started = track.work_since != SteadyTime();
   return has_started
              ? std::max(Millis(0), std::chrono::floor<Millis>(
@@ -412,18 +426,18 @@
              : Millis(0);
 }
 
-// A look at a worker waits for seconds; while it stands, the worker has not
-// gone down under what it has started.
+// A hold call stays open for up to seconds. While it is open, the worker has
+// not crashed, so runs that started before still run.
 bool Leadership::IsSeenAtWork(const Ledger& ledger,
                               const Worker& worker,
                               const scheduling::TaskId& id) const {
   const WorkerLink& link = m_links.at(worker.info.id);
-  const bool is_well = !link.is_silent && link.lost_at == SteadyTime();
+  const bool is_healthy = !link.is_silent && link.lost_at == SteadyTime();
   const auto is_at_work = [&](const RunTrack& track) {
     const bool has_lasted = track.work_since != SteadyTime() &&
                             Now() - track.work_since >= scheduling::kSeenAtWork;
     return track.SeenAtWork() >= scheduling::kSeenAtWork ||
-           (is_well && has_lasted);
+           (is_healthy && has_lasted);
   };
   const Job& job = *ledger.FindJob(id.job);
   const auto& active = job.tasks[job.IndexOf(id)].active;
@@ -434,8 +448,8 @@
   });
 }
 
-// Until all suspects there have been seen at work, and those that nothing may
-// be put beside have ended.
+// Whether other tasks are kept off a worker: until all suspects there have been
+// seen at work, and isolated tasks that are not persistent have ended.
 bool Leadership::IsQuarantined(const Ledger& ledger,
                                const Worker& worker) const {
   return std::any_of(worker.suspects.begin(), worker.suspects.end(),
@@ -449,8 +463,9 @@
                      });
 }
 
-// Asked only of workers with nothing but suspects and what lasts.
-bool Leadership::IsSettled(const Ledger& ledger, const Worker& worker) const {
+// Called only for workers with nothing but suspects and persistent runs.
+bool Leadership::AreRunsSeenAtWork(const Ledger& ledger,
+                                   const Worker& worker) const {
   return std::all_of(worker.active.begin(), worker.active.end(),
                      [&](const scheduling::TaskId& id) {
                        return IsSeenAtWork(ledger, worker, id);
--- a/packages/dispatch/src/leadership.cc
+++ b/packages/dispatch/src/leadership.cc
@@ -17,41 +17,44 @@
 
 namespace {
 
-// What comes within this time is planned together; a caller's time to wait is
-// counted in hundreds of milliseconds.
+// Triggers within this time share one planning pass. The delay is small beside
+// the hundreds of milliseconds that callers wait.
 constexpr Millis kPlanDelay{3};
-// A plan looks at all open jobs: at most so often, to bound what it costs, and
-// not before so many times what the last one took. On a host with a third of a
-// core, plans of 5 ms every 12 ms would leave nothing for the orders
-// themselves.
-constexpr Millis kPlanPause{12};
-constexpr int kPlanShare = 6;
-constexpr Millis kLongestPlanPause{60};
-// What comes within this time is committed together; three commits a step of a
-// job cost its caller 30 ms of seconds.
+// A planning pass visits all open jobs. To bound its cost, the time between the
+// starts of two passes is at least kPlanPauseFactor times the duration of the
+// first, limited to the range from kMinPlanPause to kMaxPlanPause. On a host
+// with a third of a core, passes of 5 ms every 12 ms would leave no time to
+// send the orders.
+constexpr Millis kMinPlanPause{12};
+constexpr int kPlanPauseFactor = 6;
+constexpr Millis kMaxPlanPause{60};
+// Records that come within this time are committed together. A step of a job
+// takes three commits, so its caller waits 30 ms longer, of some seconds.
 constexpr Millis kBatchDelay{10};
-// How often the tracks of runs are compared with the ledger as a whole.
-constexpr Millis kFollowPeriod{500};
-// How often all runs are looked through for some to stop. A cancelled job's
-// tasks may run on for seconds, not for tenths.
+// Time between two comparisons of all tracked runs with the ledger.
+constexpr Millis kRunSyncPeriod{500};
+// Time between two searches of all runs for those to stop. The tasks of a
+// cancelled job may run on for seconds, so tenths of a second do not matter.
 constexpr Millis kStopsPeriod{150};
-// A worker that was not heard of for longer is given no new work: a look that
-// waits two seconds, and its way.
-constexpr Millis kFreshContact{2'600};
-// A worker neither reached nor announced for so long has left without a word:
-// ten announcements at their usual pace.
-constexpr Millis kSilentIsGone{15'000};
+// A worker without contact for longer gets no new work. A hold call waits up to
+// two seconds; the rest is for its transfer.
+constexpr Millis kMaxContactAge{2'600};
+// A worker without runs is removed after this time without contact or
+// announcement: ten announcements at their usual rate.
+constexpr Millis kSilenceTimeout{15'000};
 constexpr Millis kForgetPeriod{5'000};
-// What a worker said before this host led counts for so long: two announcements
-// at the slowest pace.
-constexpr Millis kRoomLasts{3'000};
-// A leader whose thread stood still for longer may have missed an announcement
-// of each worker.
-constexpr Millis kLongestPause{1'000};
-constexpr Millis kTakenOver{300};
-// A job that an earlier leader took in is not taken to be older than this: all
-// that has waited so long is late alike, and a clock may be set wrong.
-constexpr Millis kOldestTaken{60'000};
+// A report sent before m_rooms_since counts as current for this time: two
+// announcements at their slowest rate.
+constexpr Millis kMaxEarlierReportAge{3'000};
+// During a longer pause of the leader's thread, an announcement of each worker
+// may have been missed.
+constexpr Millis kMaxThreadPause{1'000};
+// Jobs first seen within this time after the start of the term count as taken
+// over from an earlier leader.
+constexpr Millis kTakeoverTime{300};
+// Limit on the age of a job that an earlier leader accepted. Jobs that have
+// waited for so long are all equally late, and a clock may be set wrong.
+constexpr Millis kMaxInheritedAge{60'000};
 
 }  // namespace
 
@@ -65,29 +68,29 @@
       m_begun_at(init.timers->Now()),
       m_rooms_since(m_begun_at),
       m_counters(counters),
-      m_lease(init.bounds.leader_lease),
+      m_leader_lease(init.bounds.leader_lease),
       m_planner(init.mechanisms),
       m_demand(init.mechanisms) {}
 
-void Leadership::ConfirmLead() {
-  if (m_is_confirming_lead) {
+void Leadership::ConfirmLeadership() {
+  if (m_is_confirming_leadership) {
     return;
   }
-  m_is_confirming_lead = true;
+  m_is_confirming_leadership = true;
   m_log.Confirm([weak = weak_from_this(), post = m_init.post,
                  asked_at = m_init.boot_now()](bool is_confirmed) {
     post([weak, asked_at, is_confirmed] {
       if (const auto self = weak.lock()) {
-        self->OnLeadConfirmed(asked_at, is_confirmed);
+        self->OnLeadershipConfirmed(asked_at, is_confirmed);
       }
     });
   });
 }
 
-void Leadership::OnLeadConfirmed(BootTime asked_at, bool is_confirmed) {
-  m_is_confirming_lead = false;
+void Leadership::OnLeadershipConfirmed(BootTime asked_at, bool is_confirmed) {
+  m_is_confirming_leadership = false;
   if (is_confirmed) {
-    m_lease.Renew(asked_at);
+    m_leader_lease.Renew(asked_at);
   }
   while (!m_waiting_acts.empty() && IsSureToLead()) {
     const auto act = std::move(m_waiting_acts.front());
@@ -96,9 +99,9 @@
   }
 }
 
-// Each batch costs every control host a message, a sync and some wake-ups, so
-// that what comes within a few milliseconds goes together, and all that comes
-// while a batch is under way goes with the next one.
+// Each batch costs every control host a message, a disk sync and some wake-ups.
+// So records that come within kBatchDelay share a batch, and records that come
+// while a batch is being committed wait for the next one.
 void Leadership::Commit(Records records, CommitDone done) {
   std::move(records.begin(), records.end(), std::back_inserter(m_batch));
   m_batch_done.push_back(std::move(done));
@@ -156,7 +159,7 @@
                      return;
                    }
                    if (outcome == CommitOutcome::kCommitted) {
-                     self->m_lease.Renew(asked_at);
+                     self->m_leader_lease.Renew(asked_at);
                    }
                    self->m_is_batch_under_way = false;
                    for (const CommitDone& done : *waiting) {
@@ -168,7 +171,7 @@
 }
 
 Leadership::~Leadership() {
-  // What was not handed to the log will never be committed.
+  // The records that were not handed to the log will never be committed.
   for (const CommitDone& done : m_batch_requests) {
     done(CommitOutcome::kRefused);
   }
@@ -184,7 +187,7 @@
   m_is_plan_due = true;
   const auto since = std::chrono::floor<Millis>(Now() - m_last_plan);
   const Millis pause =
-      std::clamp(kPlanShare * m_plan_time, kPlanPause, kLongestPlanPause);
+      std::clamp(kPlanPauseFactor * m_plan_time, kMinPlanPause, kMaxPlanPause);
   const Millis delay = std::max(kPlanDelay, pause - since);
   m_init.timers->SubscribeOnce(delay, [weak = weak_from_this()](SteadyTime) {
     if (const auto self = weak.lock()) {
@@ -199,19 +202,21 @@
   std::vector<RunStarted> starts;
   m_log.Read([&](const Ledger& ledger) {
     FollowWorkers(ledger);
-    FollowJobs(ledger);
+    SyncJobs(ledger);
     Plan(ledger, starts);
   });
   m_plan_time = std::chrono::floor<Millis>(Now() - m_last_plan);
   CommitStarts(starts);
 }
 
-// A half of what is new, so that a lag of some ticks counts and that of one
-// does not; it wears off with time, as ticks that were late come in a bunch.
+// Smooths the tick lag. A higher value is taken over by half, so that the lag
+// of several ticks counts and that of a single one hardly does. The smoothed
+// value falls by at most half of the elapsed time: after a delay, ticks come in
+// quick succession, and their number must not make the lag vanish.
 void Leadership::MeasureLag() {
   const SteadyTime now = Now();
-  if (HasStoodStill()) {
-    ForgetRooms();
+  if (WasThreadPaused()) {
+    DiscardReports();
   }
   if (m_last_tick != SteadyTime()) {
     const auto taken = std::chrono::floor<Millis>(now - m_last_tick);
@@ -224,29 +229,30 @@
 
 void Leadership::Tick() {
   MeasureLag();
-  // Also while what was due waits: after a wake nothing goes out before.
-  if (m_lease.IsHalfOver(m_init.boot_now()) || !m_waiting_acts.empty()) {
-    ConfirmLead();
+  // Also while acts wait: after the process was frozen or suspended, none of
+  // them is run before a quorum has confirmed the lead.
+  if (m_leader_lease.IsHalfOver(m_init.boot_now()) || !m_waiting_acts.empty()) {
+    ConfirmLeadership();
   }
   Records records;
   m_log.Read([&](const Ledger& ledger) {
     FollowWorkers(ledger);
-    FollowJobs(ledger);
-    if (Now() >= m_next_follow) {
-      m_next_follow = Now() + kFollowPeriod;
-      FollowRuns(ledger);
+    SyncJobs(ledger);
+    if (Now() >= m_next_run_sync) {
+      m_next_run_sync = Now() + kRunSyncPeriod;
+      SyncRuns(ledger);
     }
     if (Now() >= m_next_stops) {
       m_next_stops = Now() + kStopsPeriod;
-      WantStops(ledger);
-      StopStalled(ledger);
+      RequestDueStops(ledger);
+      StopStalledRuns(ledger);
     }
-    Lapse(ledger);
-    DropSilent(ledger, records);
+    CommitLapses(ledger);
+    RemoveSilentWorkers(ledger, records);
     StepWaves(ledger, records);
     StepMoves(ledger);
     Report(ledger);
-    ForgetJobs(ledger, records);
+    ForgetEndedJobs(ledger, records);
     SendOrders(ledger);
     SendHolds(ledger);
   });
@@ -263,83 +269,85 @@
   }
 }
 
-void Leadership::Heard(const std::string& worker, const WorkerWord& word) {
-  const auto [known, is_first] = m_words.try_emplace(worker, word);
-  if (!is_first && !word.IsNewerThan(known->second)) {
+void Leadership::Heard(const std::string& worker, const WorkerWord& report) {
+  const auto [known, is_first] = m_reports.try_emplace(worker, report);
+  if (!is_first && !report.IsNewerThan(known->second)) {
     return;
   }
-  known->second = word;
+  known->second = report;
   const auto link = m_links.find(worker);
-  if (link != m_links.end() && IsWordOf(link->second, word)) {
-    link->second.word = word;
+  if (link != m_links.end() && IsReportOf(link->second, report)) {
+    link->second.last_report = report;
   }
 }
 
-void Leadership::HeardNews(const std::string& worker, const WorkerWord& word) {
+void Leadership::HeardNews(const std::string& worker,
+                           const WorkerWord& report) {
   const auto link = m_links.find(worker);
-  if (link != m_links.end() && link->second.word &&
-      word.IsNewerThan(*link->second.word)) {
-    link->second.word.reset();
-    m_words.erase(worker);
+  if (link != m_links.end() && link->second.last_report &&
+      report.IsNewerThan(*link->second.last_report)) {
+    link->second.last_report.reset();
+    m_reports.erase(worker);
   }
 }
 
-bool Leadership::IsWordOf(const WorkerLink& link, const WorkerWord& word) {
-  return word.born == WallTime() || link.born == WallTime() ||
-         word.born == link.born;
+bool Leadership::IsReportOf(const WorkerLink& link, const WorkerWord& report) {
+  return report.born == WallTime() || link.born == WallTime() ||
+         report.born == link.born;
 }
 
-bool Leadership::HasStoodStill() const {
-  return m_last_tick != SteadyTime() && Now() - m_last_tick > kLongestPause;
+bool Leadership::WasThreadPaused() const {
+  return m_last_tick != SteadyTime() && Now() - m_last_tick > kMaxThreadPause;
 }
 
-// What this host was told before its pause is as old as what another leader was
-// told; words that came meanwhile lie unread, or were given up.
-void Leadership::ForgetRooms() {
-  ++m_pauses;
+// Reports from before the pause are as old as reports to another leader would
+// be. Those that came during the pause are not read yet, or their senders gave
+// up waiting.
+void Leadership::DiscardReports() {
+  ++m_long_pauses;
   m_rooms_since = Now();
   for (auto& [id, link] : m_links) {
-    link.word.reset();
+    link.last_report.reset();
     if (link.clock.is_known()) {
       link.clock_at_begin = link.clock.Estimate(m_rooms_since);
     }
   }
-  m_words.clear();
+  m_reports.clear();
   DecisionLog::Get().Write(
       DecisionLine("dispatch", "rooms-forgotten")
           .With("pause_ms", std::chrono::floor<Millis>(Now() - m_last_tick))
           .With("workers", static_cast<uint64_t>(m_links.size())));
 }
 
-// By the worker's clock, so that a word which lay unread somewhere, or
-// travelled long, counts from when it was said. Without one it counts as just
-// said.
+// The age of a report is measured by the worker's clock, so that a report which
+// was read or delivered late counts from when it was sent. A report without a
+// clock counts as just sent.
 bool Leadership::IsRoomHeard(const WorkerLink& link) const {
   if (m_init.mutations.is_room_age_ignored) {
     return true;
   }
-  if (!link.word || HasStoodStill()) {
+  if (!link.last_report || WasThreadPaused()) {
     return false;
   }
-  const WorkerWord& word = *link.word;
-  if (word.clock == scheduling::WorkerTime(0) ||
-      word.clock >= link.clock_at_begin) {
+  const WorkerWord& report = *link.last_report;
+  if (report.clock == scheduling::WorkerTime(0) ||
+      report.clock >= link.clock_at_begin) {
     return true;
   }
-  return link.clock.Estimate(Now()) - word.clock < kRoomLasts;
+  return link.clock.Estimate(Now()) - report.clock < kMaxEarlierReportAge;
 }
 
 void Leadership::FollowWorkers(const Ledger& ledger) {
-  if (m_followed_workers == ledger.workers_version()) {
+  if (m_workers_revision == ledger.workers_version()) {
     return;
   }
   const auto before =
-      std::exchange(m_followed_workers, ledger.workers_version());
-  const bool is_told =
+      std::exchange(m_workers_revision, ledger.workers_version());
+  const bool are_changes_known =
       before && ledger.VisitChangedWorkers(*before, [&](const std::string& id) {
-        FollowWorker(ledger, id);
+        SyncWorker(ledger, id);
       });
-  if (is_told) {
+  if (are_changes_known) {
     return;
   }
   std::vector<std::string> gone;
@@ -349,23 +357,23 @@
     }
   }
   for (const std::string& id : gone) {
-    FollowWorker(ledger, id);
+    SyncWorker(ledger, id);
   }
   for (const auto& [id, worker] : ledger.workers()) {
-    FollowWorker(ledger, id);
+    SyncWorker(ledger, id);
   }
 }
 
-void Leadership::FollowWorker(const Ledger& ledger, const std::string& id) {
+void Leadership::SyncWorker(const Ledger& ledger, const std::string& id) {
   const Worker* worker = ledger.FindWorker(id);
   if (worker == nullptr) {
     const auto link = m_links.find(id);
     if (link != m_links.end()) {
       m_init.workers->Forget(link->second.address);
-      m_last_lives[id] = link->second.number;
+      m_last_incarnations[id] = link->second.number;
       m_links.erase(link);
     }
-    m_words.erase(id);
+    m_reports.erase(id);
     return;
   }
   const auto [found, is_new] =
@@ -374,8 +382,8 @@
   if (is_new) {
     link.last_announced = Now();
     link.born = worker->born;
-    const auto last = m_last_lives.find(id);
-    if (last != m_last_lives.end()) {
+    const auto last = m_last_incarnations.find(id);
+    if (last != m_last_incarnations.end()) {
       link.number = last->second + 1;
     }
   } else if (link.born == WallTime()) {
@@ -384,19 +392,21 @@
     BeginLife(ledger, id, link, worker->born);
   }
   link.address = {id, worker->info.address, worker->info.availability_zone};
-  TakeWord(id, link);
+  ApplyReport(id, link);
 }
 
-// A word may come before the life that said it is known here.
-void Leadership::TakeWord(const std::string& id, WorkerLink& link) {
-  const auto word = m_words.find(id);
-  if (!link.word && word != m_words.end() && IsWordOf(link, word->second)) {
-    link.word = word->second;
+// A report may come before its sender's incarnation is in the ledger here.
+void Leadership::ApplyReport(const std::string& id, WorkerLink& link) {
+  const auto report = m_reports.find(id);
+  if (!link.last_report && report != m_reports.end() &&
+      IsReportOf(link, report->second)) {
+    link.last_report = report->second;
   }
 }
 
-// Every committed run is tracked; those of an earlier leader are uncertain.
-void Leadership::FollowRuns(const Ledger& ledger) {
+// Tracks every committed active run. A run that an earlier leader started
+// begins as StartStage::kUncertain.
+void Leadership::SyncRuns(const Ledger& ledger) {
   for (auto run = m_runs.begin(); run != m_runs.end();) {
     const auto& [key, track] = *run;
     const bool is_active = ledger.IsActive(key.task, key.run, track.worker);
@@ -415,28 +425,30 @@
   }
 }
 
-// By the time of day, which may jump: it decides an order of work, no more.
+// Uses the wall clock, which may jump. The age only affects the order in which
+// jobs are served.
 Millis Leadership::AgeOf(const Job& job) const {
   const Millis age =
       std::chrono::floor<Millis>(m_init.wall_now() - job.accepted_at);
-  return std::clamp(age, Millis(0), kOldestTaken);
+  return std::clamp(age, Millis(0), kMaxInheritedAge);
 }
 
-void Leadership::FollowJobs(const Ledger& ledger) {
+void Leadership::SyncJobs(const Ledger& ledger) {
   for (const std::string& id : ledger.open_jobs()) {
     if (m_seen_at.contains(id)) {
       continue;
     }
     const Job& job = *ledger.FindJob(id);
     m_seen_at[id] = Now() - AgeOf(job);
-    // What an earlier leader took in arrived over a longer time.
-    if (Now() - m_begun_at > kTakenOver) {
+    // Jobs accepted by an earlier leader arrived over a longer time, so they do
+    // not count as demand that arrives now.
+    if (Now() - m_begun_at > kTakeoverTime) {
       m_demand.Arrived(ledger.ServiceOf(job), m_planner.WorkOf(job), Now());
     }
   }
 }
 
-void Leadership::Lapse(const Ledger& ledger) {
+void Leadership::CommitLapses(const Ledger& ledger) {
   const SteadyTime now = Now();
   for (auto& [id, link] : m_links) {
     const Worker* worker = ledger.FindWorker(id);
@@ -447,8 +459,8 @@
         link.is_lapse_under_way) {
       continue;
     }
-    // Until it is committed nothing is started there again, though the worker
-    // may answer by then: what would run would count as over.
+    // Nothing is started there until the lapse is committed, even if the worker
+    // answers by then: the lapse would end new runs in the ledger as well.
     link.is_lapse_under_way = true;
     link.is_lapsed = true;
     ++m_counters.lapses;
@@ -458,7 +470,7 @@
             .With("silent_ms",
                   std::chrono::floor<Millis>(now - link.last_contact))
             .With("runs", static_cast<int64_t>(worker->active.size())));
-    TellLostRuns(ledger, *worker, "lapsed");
+    LogLostRuns(ledger, *worker, "lapsed");
     link.lapsed_runs = LostRuns(ledger, *worker);
     Commit({scheduling::WorkerLapsed{id}}, [this, id = id](CommitOutcome) {
       const auto found = m_links.find(id);
@@ -470,20 +482,20 @@
   }
 }
 
-void Leadership::DropSilent(const Ledger& ledger, Records& records) {
+void Leadership::RemoveSilentWorkers(const Ledger& ledger, Records& records) {
   const SteadyTime now = Now();
   for (auto& [id, link] : m_links) {
     const Worker* worker = ledger.FindWorker(id);
     const SteadyTime heard =
         std::max({link.last_contact, link.last_announced, m_begun_at});
     if (worker != nullptr && worker->active.empty() &&
-        !link.is_gone_under_way && now - heard > kSilentIsGone) {
+        !link.is_gone_under_way && now - heard > kSilenceTimeout) {
       EndWorker(ledger, *worker, "silent", records);
     }
   }
 }
 
-void Leadership::ForgetJobs(const Ledger& ledger, Records& records) {
+void Leadership::ForgetEndedJobs(const Ledger& ledger, Records& records) {
   const SteadyTime now = Now();
   if (now < m_next_forget) {
     return;
@@ -504,10 +516,10 @@
                     std::chrono::floor<Millis>(now - seen->second)));
       m_seen_at.erase(seen);
     }
-    const SteadyTime over = m_over_at.try_emplace(id, now).first->second;
+    const SteadyTime over = m_job_over_at.try_emplace(id, now).first->second;
     if (now - over > m_init.bounds.job_memory) {
       forgotten.ids.push_back(id);
-      m_over_at.erase(id);
+      m_job_over_at.erase(id);
     }
   }
   if (!forgotten.ids.empty()) {
@@ -515,39 +527,39 @@
   }
 }
 
-Fitness Leadership::FitnessOf(const Worker& worker,
-                              const WorkerLink& link) const {
+Eligibility Leadership::EligibilityOf(const Worker& worker,
+                                      const WorkerLink& link) const {
   const SteadyTime now = Now();
   if (!link.is_reached || !link.clock.is_known()) {
-    return Fitness::kNotReached;
+    return Eligibility::kNotReached;
   }
   if (link.is_silent) {
-    return Fitness::kSilent;
+    return Eligibility::kSilent;
   }
   if (link.is_lapsed || link.is_lapse_under_way) {
-    return Fitness::kLapsed;
+    return Eligibility::kLapsed;
   }
   if (worker.info.is_draining) {
-    return Fitness::kDraining;
+    return Eligibility::kDraining;
   }
   if (IsEvacuated(worker.info.host)) {
-    return Fitness::kEvacuated;
+    return Eligibility::kEvacuated;
   }
   if (now < link.suspect_until) {
-    return Fitness::kSuspect;
+    return Eligibility::kSuspect;
   }
   if (now < link.paused_until) {
-    return Fitness::kPaused;
+    return Eligibility::kPaused;
   }
   if (!IsRoomHeard(link)) {
-    return Fitness::kRoomNotHeard;
+    return Eligibility::kCapacityStale;
   }
-  const bool is_stale = now - link.last_contact >= kFreshContact + OwnDelay();
-  return is_stale ? Fitness::kStale : Fitness::kUsable;
+  const bool is_stale = now - link.last_contact >= kMaxContactAge + OwnDelay();
+  return is_stale ? Eligibility::kStale : Eligibility::kUsable;
 }
 
-scheduling::WorkerOutlook Leadership::LookAt(const Ledger& ledger,
-                                             const Worker& worker) const {
+scheduling::WorkerOutlook Leadership::AssessWorker(const Ledger& ledger,
+                                                   const Worker& worker) const {
   const WorkerLink& link = m_links.at(worker.info.id);
   const bool is_doubtful =
       m_init.mechanisms.Has(Mechanism::kDoubt) && Now() < link.doubtful_until;
@@ -556,18 +568,18 @@
       IsDueForMaintenance(ledger, worker.info.host),
       IsQuarantined(ledger, worker),
       worker.active.size() <= worker.suspects.size() + worker.persistent_runs &&
-          IsSettled(ledger, worker)};
+          AreRunsSeenAtWork(ledger, worker)};
 }
 
 void Leadership::Plan(const Ledger& ledger, std::vector<RunStarted>& starts) {
   starts = m_planner.Plan(
       {ledger, Now(), m_init.wall_now(),
-       [&](const Worker& worker) { return LookAt(ledger, worker); },
+       [&](const Worker& worker) { return AssessWorker(ledger, worker); },
        m_seen_at});
 }
 
-// One line for what a plan starts of a step, not for each of its tasks.
-void Leadership::TellStarts(const std::vector<RunStarted>& starts) const {
+// Writes one line per step of a plan, not one per task.
+void Leadership::LogStarts(const std::vector<RunStarted>& starts) const {
   const auto is_same_step = [](const RunStarted& a, const RunStarted& b) {
     return a.task.job == b.task.job && a.task.occurrence == b.task.occurrence &&
            a.task.step == b.task.step;
@@ -597,7 +609,7 @@
   if (starts.empty()) {
     return;
   }
-  TellStarts(starts);
+  LogStarts(starts);
   Records records(starts.begin(), starts.end());
   Commit(std::move(records), [this, starts](CommitOutcome outcome) {
     for (const RunStarted& start : starts) {
@@ -609,7 +621,7 @@
     m_log.Read([&](const Ledger& ledger) {
       for (const RunStarted& start : starts) {
         if (!ledger.IsActive(start.task, start.run, start.worker)) {
-          continue;  // It did not fit any more when it was applied.
+          continue;  // It no longer fitted when the record was applied.
         }
         const RunKey key{start.task, start.run};
         RunTrack& track = m_runs[key];
--- a/packages/dispatch/src/leadership_p.h
+++ b/packages/dispatch/src/leadership_p.h
@@ -23,7 +23,8 @@
 
 namespace laurelhall::dispatch {
 
-/// How often what no event announces is looked for: silent workers, retries.
+/// Time between two ticks, which check for conditions that no event reports,
+/// such as silent workers and due retries.
 constexpr Millis kDispatchTick{50};
 
 /// One start of one task.
@@ -35,11 +36,11 @@
   friend auto operator<=>(const RunKey&, const RunKey&) = default;
 };
 
-/// For the tables of runs: a look lists all that a worker runs, and a leader of
-/// 350 workers finds some ten thousand runs a second there.
+/// Hash for the tables of runs. Each hold call lists all runs of a worker, so a
+/// leader of 350 workers looks up some ten thousand runs per second.
 struct RunKeyHash {
   size_t operator()(const RunKey& key) const {
-    // Odd factors, so that neighbours of one step part.
+    // Odd factors, so that neighbouring tasks of a step get different hashes.
     size_t hash = std::hash<std::string>()(key.task.job);
     hash = hash * 31 + key.task.occurrence;
     hash = hash * 31 + key.task.step;
@@ -48,60 +49,60 @@
   }
 };
 
-/// How far the order to start a run is.
+/// The stage of the order to start a run.
 enum class StartStage {
-  kUncertain,  ///< An earlier leader's; its worker has not told yet.
+  kUncertain,  ///< From an earlier leader; not confirmed by its worker yet.
   kSending,
-  kRetry,    ///< Goes out again when its time comes.
-  kSettled,  ///< The worker has taken it, or will never.
-  kBarring,  ///< Is stopped before anything else is done about it.
+  kRetry,    ///< To be sent again at `next_try`.
+  kSettled,  ///< The worker accepted the start, or will never carry it out.
+  kBarring,  ///< To be stopped first, so that a late start has no effect.
 };
 
 /// Why a run is to be stopped.
 enum class StopReason : uint8_t {
-  kDone,       ///< Another run of its task was.
-  kCancelled,  ///< Its job was.
+  kDone,       ///< Another run of its task is done.
+  kCancelled,  ///< Its job was cancelled.
   kJobFailed,
   kWorkerLeaves,
   kMaintenance,
-  kStandsStill,
-  kStartNotAnswered,  ///< It may begin late, and is to run elsewhere.
+  kStalled,           ///< Its progress has not changed for too long.
+  kStartNotAnswered,  ///< It may begin late; its task is to run elsewhere.
   kCount,
 };
 
-/// A short name for a log line.
+/// The reason's name in log lines.
 const char* StopReasonName(StopReason reason);
 
-/// What this leader knows of an active run beyond what is committed.
+/// State of an active run that this leader holds in addition to the ledger.
 struct RunTrack {
   std::string worker;
   StartStage start = StartStage::kUncertain;
-  bool may_be_on_its_way = false;  ///< A start of it was never answered.
+  bool may_be_on_its_way = false;  ///< A start order got no answer.
   SteadyTime next_try{};
-  SteadyTime begun_at{};
-  SteadyTime settled_at{};  ///< A look after this must list it.
+  SteadyTime begun_at{};    ///< Start committed; zero: by an earlier leader.
+  SteadyTime settled_at{};  ///< Hold calls sent later must list the run.
   bool is_stop_wanted = false;
   StopReason stop_reason = StopReason::kDone;
   bool is_stop_under_way = false;
-  bool is_stop_taken = false;
-  uint32_t percent = 0;
+  bool is_stop_taken = false;  ///< The worker accepted the stop order.
+  uint32_t percent = 0;        ///< Progress as last listed.
   SteadyTime percent_since{};
-  bool is_listed = false;
-  bool is_proof_under_way = false;
-  SteadyTime work_since{};  ///< Its start was answered, or it was listed.
+  bool is_listed = false;  ///< The worker has listed it as running.
+  bool is_proof_pending = false;
+  SteadyTime work_since{};  ///< When its start was answered or it was listed.
   SteadyTime work_until{};  ///< When it was listed last.
 
-  /// How long it was seen to run; zero for one that was never listed.
+  /// How long it was observed running; zero if it was never listed.
   Millis SeenAtWork() const {
     const auto seen = std::chrono::floor<Millis>(work_until - work_since);
     return is_listed ? std::max(seen, Millis(0)) : Millis(0);
   }
 };
 
-/// One life of a worker; others may have the same id.
+/// One incarnation of a worker. A worker that restarts may keep its id.
 struct WorkerLife {
-  std::string id;  ///< Empty: none.
-  WallTime born{};
+  std::string id;   ///< Empty: no worker.
+  WallTime born{};  ///< When it began; zero: not known.
 
   bool IsSame(const scheduling::Worker& worker) const {
     const bool is_known = born != WallTime() && worker.born != WallTime();
@@ -109,82 +110,95 @@
   }
 };
 
+/// @param worker Null: gives a WorkerLife without an id.
 WorkerLife LifeOf(const scheduling::Worker* worker);
 
-/// The newest word of a worker of which all is committed.
+/// Identifies a report of a worker: the incarnation that sent it, and when.
 struct WorkerWord {
-  WallTime born{};  ///< Of the life that said so; zero: not told.
-  /// When, on its clock; zero: not told.
+  WallTime born{};  ///< When that incarnation began; zero: not reported.
+  /// When it was sent, by the worker's clock; zero: not reported.
   scheduling::WorkerTime clock{0};
 
-  /// Not of an earlier life than another word, nor of an earlier moment.
+  /// Whether it is from a later incarnation than the other one, or from the
+  /// same incarnation and not earlier.
   bool IsNewerThan(const WorkerWord& other) const {
     return born != other.born ? born > other.born : clock >= other.clock;
   }
 };
 
-/// What this leader knows of a worker's life beyond what is committed.
+/// State of a worker's current incarnation that this leader holds in addition
+/// to the ledger.
 struct WorkerLink {
   WorkerLink(Millis longest_lease, SteadyTime now)
       : clock(longest_lease, now) {}
 
   WorkerAddress address;
   scheduling::WorkerClock clock;
-  WallTime born{};           ///< Zero: not told.
-  uint64_t number = 1;       ///< Of the lives that had this id in this term.
-  bool is_unjudged = false;  ///< What its birth says of the runs before it.
-  std::optional<scheduling::LossTime> loss_before;  ///< None: was not seen.
-  bool is_reached = false;
-  bool is_lapse_under_way = false;
+  WallTime born{};      ///< When the incarnation began; zero: not reported.
+  uint64_t number = 1;  ///< Counts the incarnations of this id in this term.
+  /// The crash of the previous incarnation is still to be recorded, with the
+  /// first list of this one.
+  bool is_unjudged = false;
+  /// When the previous incarnation was lost; none: it was never reached.
+  std::optional<scheduling::LossTime> previous_loss;
+  bool is_reached = false;          ///< A hold call was answered.
+  bool is_lapse_under_way = false;  ///< WorkerLapsed is being committed.
+  /// Its lease lapsed, and no hold call was answered since.
   bool is_lapsed = false;
-  bool is_gone_under_way = false;
-  bool is_first_look = true;       ///< Nothing was planned on it yet.
-  bool is_silent = false;          ///< The last look was not answered.
-  bool is_hold_under_way = false;  ///< Or waits for its ends' commit.
+  bool is_gone_under_way = false;  ///< LifeEnded is being committed.
+  bool is_first_look = true;       ///< Its first list is not committed yet.
+  bool is_silent = false;          ///< The last hold call was not answered.
+  /// A hold call is open, or the ends that it listed are being committed.
+  bool is_hold_under_way = false;
   bool is_renewal_under_way = false;
   SteadyTime next_hold{};
   SteadyTime next_renewal{};
-  SteadyTime leased_at{};  ///< From when the lease last asked for counts.
+  SteadyTime leased_at{};  ///< Start of the lease that was last requested.
   SteadyTime last_contact{};
-  SteadyTime last_listed{};  ///< When it last told what it runs.
+  SteadyTime last_listed{};  ///< When it last listed its runs.
   SteadyTime first_contact{};
   SteadyTime last_announced{};
-  SteadyTime suspect_until{};  ///< An order was not answered; any word ends it.
-  SteadyTime paused_until{};   ///< It turned an order down.
-  SteadyTime lost_at{};        ///< First unanswered look since the last word.
-  /// Since the last list, or of the life before.
+  /// Set after an order was not answered; cleared by any answer.
+  SteadyTime suspect_until{};
+  SteadyTime paused_until{};  ///< Set after it refused an order.
+  /// When the first hold call since `last_contact` failed; zero: none did.
+  SteadyTime lost_at{};
+  /// Runs whose lease expired since the last list, or runs of the previous
+  /// incarnation while `is_unjudged` is set.
   std::vector<scheduling::LostRun> lapsed_runs;
-  std::optional<WorkerWord> word;  ///< None: this life was not heard yet.
-  /// What its clock showed when this host began to lead, or woke up.
+  /// Newest report whose content is committed; none: nothing is known to be.
+  std::optional<WorkerWord> last_report;
+  /// The worker's clock at `m_rooms_since`.
   scheduling::WorkerTime clock_at_begin{0};
-  uint64_t ends_seen = 0;
-  std::set<std::string> failed_jobs;  ///< Since the last task done here.
+  uint64_t ends_seen = 0;  ///< Number of the last end that is committed.
+  /// Jobs with a failed run here since the last successful run.
+  std::set<std::string> failed_jobs;
   SteadyTime doubtful_until{};
   Pacer pacer;
 };
 
-/// Whether a worker may be given work, or the first thing that forbids it.
-enum class Fitness : uint8_t {
+/// Whether runs may be started on a worker, or the first reason against it.
+enum class Eligibility : uint8_t {
   kUsable,
-  kNotReached,  ///< No look at it was answered yet.
-  kSilent,      ///< The last look was not answered.
-  kLapsed,      ///< Its lease ran out, or that is being committed.
+  kNotReached,  ///< No hold call was answered yet.
+  kSilent,      ///< The last hold call was not answered.
+  kLapsed,      ///< Its lease expired, or that is being committed.
   kDraining,
-  kSuspect,       ///< An order was not answered.
-  kPaused,        ///< It turned an order down.
-  kStale,         ///< Not heard of lately, though no call has failed.
-  kEvacuated,     ///< Its host is to move or to be maintained.
-  kRoomNotHeard,  ///< What is committed of its room may be old.
+  kSuspect,        ///< An order was not answered.
+  kPaused,         ///< It refused an order.
+  kStale,          ///< No recent contact, though no call has failed.
+  kEvacuated,      ///< Its host is to be moved or maintained.
+  kCapacityStale,  ///< Its committed capacity may be outdated.
   kCount,
 };
 
-/// A short name for a log line.
-const char* FitnessName(Fitness fitness);
+/// The eligibility's name in log lines.
+const char* EligibilityName(Eligibility eligibility);
 
-/// The other tasks of a persistent step.
-struct StepAway {
-  uint32_t away = 0;  ///< Not seen at work, whatever the cause.
-  uint32_t may_miss = 0;
+/// Availability of the other tasks of a persistent step.
+struct StepUnavailability {
+  uint32_t away = 0;      ///< Tasks not known to be at work, for any reason.
+  uint32_t may_miss = 0;  ///< Tasks of the step that may be away at once.
 };
 
 /// A host on its way through maintenance, as this leader sees it.
@@ -206,11 +220,11 @@
   SteadyTime until{};
 };
 
-/// A worker that went down lately.
-struct LostLife {
+/// A worker that was lost recently.
+struct LostWorker {
   std::string rack;
   std::string host;
-  scheduling::LossTime when;
+  scheduling::LossTime loss;
 };
 
 /// A host as this leader believes it to be.
@@ -232,10 +246,10 @@
   WorkerLife life_before;
 };
 
-/// The scheduling of one term of one leader.
+/// Schedules jobs during one term of this control host as leader.
 ///
-/// @remarks On the dispatcher's one thread only. Ended by dropping it: what
-///   then comes back from calls and commits is passed over.
+/// @remarks Used on the dispatcher's thread only. Destroy it to end the term:
+///   answers to calls and commits that arrive later are ignored.
 class Leadership : public std::enable_shared_from_this<Leadership> {
  public:
   Leadership(const DispatcherInit& init,
@@ -244,49 +258,51 @@
              DispatchCounters& counters);
   ~Leadership();
 
-  /// Looks for all that is due; to be called at each tick.
+  /// Does all periodic work that is due; to be called every kDispatchTick.
   void Tick();
 
-  /// Lets starts be planned soon; calls that come together share one plan.
+  /// Schedules a planning pass. Calls that come before it share it.
   void PlanSoon();
 
   /// A worker announced itself.
   void Announced(const std::string& worker);
 
-  /// A worker has said what is committed of it.
-  void Heard(const std::string& worker, const WorkerWord& word);
+  /// Handles a report whose content is committed.
+  void Heard(const std::string& worker, const WorkerWord& report);
 
-  /// A worker has said something that is still to be committed: until that is,
-  /// nothing is planned there.
-  void HeardNews(const std::string& worker, const WorkerWord& word);
+  /// Handles a report with changes that are not committed yet. Nothing is
+  /// planned on the worker until they are.
+  void HeardNews(const std::string& worker, const WorkerWord& report);
 
-  /// Another number when all workers are to be heard anew.
+  /// Changes whenever all workers have to report again.
   uint64_t heard_epoch() const {
-    return (m_term << kEpochPauseBits) + m_pauses;
+    return (m_term << kEpochPauseBits) + m_long_pauses;
   }
 
-  /// A call is sent and its answer read when this thread comes round: the
-  /// leader's own delay, not the worker's. A tick is late by what a round takes
-  /// beyond the time between ticks; from 100 ms on three lags are two rounds.
-  /// Bounded, so that a pause of the whole process does not hold up what waits
-  /// behind an order that is lost.
-  Millis OwnDelay() const { return std::min(3 * m_tick_lag, kMostOwnDelay); }
+  /// Delay that this thread adds to a call, to be added to the call's timeout.
+  /// A call is sent and its answer is read only when the thread's loop comes
+  /// round. The tick lag is the time of a round beyond kDispatchTick; for lags
+  /// of 100 ms or more, three lags are at least the two rounds that a call may
+  /// wait. The bound keeps a pause of the whole process from delaying what
+  /// waits for the timeout of a lost order.
+  Millis OwnDelay() const { return std::min(3 * m_tick_lag, kMaxLeaderDelay); }
 
   uint64_t term() const { return m_term; }
   const DispatchSight& sight() const { return m_sight; }
 
-  /// Commits what a request asks for, with what else is to be committed.
+  /// Commits the record of a request in the next batch.
   ///
-  /// @param done Called once, also after the end of this leadership.
+  /// @param done Called once, even if this leadership ends first.
   void CommitRequest(scheduling::Record record,
                      std::function<void(scheduling::CommitOutcome)> done);
 
-  /// Lets a read wait for a batch that is still to be handed to the log. Once
-  /// that is committed in this term, nothing newer can have been committed
-  /// elsewhere before the read came, and the ledger here shows all until then.
+  /// Confirms a read with the batch that is not handed to the log yet. Once the
+  /// batch is committed in this term, no other leader can have committed
+  /// anything before the read came, and the local ledger contains everything up
+  /// to then.
   ///
-  /// @param done Called once, also after the end of this leadership.
-  /// @returns False when no batch waits: the log must be asked.
+  /// @param done Called once, even if this leadership ends first.
+  /// @returns False if there is no such batch: the log must be asked instead.
   bool ConfirmWithBatch(std::function<void(bool is_sure)> done);
 
  private:
@@ -295,30 +311,33 @@
   using CommitDone = std::function<void(scheduling::CommitOutcome)>;
 
   SteadyTime Now() const { return m_init.timers->Now(); }
-  /// Of orders to one life of a worker: above those to all earlier ones.
+  /// The fencing token of orders to the worker's current incarnation. It is
+  /// higher than those of all earlier incarnations and terms.
   uint64_t FenceOf(const WorkerLink& link) const {
     return m_init.mutations.is_fence_old
                ? 0
                : (m_term << kFenceLifeBits) + link.number;
   }
-  /// `done` comes once, unless this leadership ends before.
+  /// Adds the records to the next batch. `done` is called once, unless this
+  /// leadership ends first.
   void Commit(Records records, CommitDone done);
 
   bool IsSureToLead() const {
     return m_init.mutations.is_lead_assumed ||
-           m_lease.IsHeld(m_init.boot_now());
+           m_leader_lease.IsHeld(m_init.boot_now());
   }
 
-  /// The last moment at which this host was sure to lead; now, while it is.
+  /// The last time at which this host held the leader lease; now while it does.
   SteadyTime SureAt() const {
     return m_init.mutations.is_lead_assumed
                ? Now()
-               : Now() - m_lease.OverFor(m_init.boot_now());
+               : Now() - m_leader_lease.OverFor(m_init.boot_now());
   }
 
-  /// Runs an act that leaves the process: at once while this host is sure to
-  /// lead, else in its turn as soon as a quorum has said so. What is queued
-  /// when leadership ends is dropped.
+  /// Runs an act with effects outside this process: at once while this host
+  /// holds the leader lease, else in order as soon as a quorum has confirmed
+  /// the lead. Acts that are still queued when this leadership ends are
+  /// dropped.
   template <typename Act>
   void WhenSure(Act act) {
     if (m_waiting_acts.empty() && IsSureToLead()) {
@@ -326,12 +345,14 @@
       return;
     }
     m_waiting_acts.push_back(std::move(act));
-    ConfirmLead();
+    ConfirmLeadership();
   }
 
-  /// As above; an act that had to wait is asked for again before it goes out.
+  /// As above. An act that had to wait runs only if `is_still_due` returns true
+  /// at that time.
   ///
-  /// @param is_still_due May read the ledger, which is not being read then.
+  /// @param is_still_due Called outside of reads of the ledger, so it may read
+  ///   the ledger itself.
   template <typename Act, typename IsStillDue>
   void WhenSure(Act act, IsStillDue is_still_due) {
     if (m_waiting_acts.empty() && IsSureToLead()) {
@@ -345,63 +366,65 @@
       }
     });
   }
-  void ConfirmLead();
-  void OnLeadConfirmed(BootTime asked_at, bool is_confirmed);
+  void ConfirmLeadership();
+  void OnLeadershipConfirmed(BootTime asked_at, bool is_confirmed);
   void FlushSoon();
 
-  // leadership.cc: workers and runs.
+  // leadership.cc: batches, planning, tracking of workers, runs and jobs.
   void FollowWorkers(const Ledger& ledger);
-  void FollowWorker(const Ledger& ledger, const std::string& id);
-  void FollowRuns(const Ledger& ledger);
-  void FollowJobs(const Ledger& ledger);
+  void SyncWorker(const Ledger& ledger, const std::string& id);
+  void SyncRuns(const Ledger& ledger);
+  void SyncJobs(const Ledger& ledger);
   Millis AgeOf(const scheduling::Job& job) const;
   void MeasureLag();
   void PlanNow();
   void Flush();
-  void Lapse(const Ledger& ledger);
-  void DropSilent(const Ledger& ledger, Records& records);
-  void ForgetJobs(const Ledger& ledger, Records& records);
+  void CommitLapses(const Ledger& ledger);
+  void RemoveSilentWorkers(const Ledger& ledger, Records& records);
+  void ForgetEndedJobs(const Ledger& ledger, Records& records);
   void Plan(const Ledger& ledger, std::vector<scheduling::RunStarted>& starts);
-  void TellStarts(const std::vector<scheduling::RunStarted>& starts) const;
+  void LogStarts(const std::vector<scheduling::RunStarted>& starts) const;
   void CommitStarts(const std::vector<scheduling::RunStarted>& starts);
-  Fitness FitnessOf(const scheduling::Worker& worker,
-                    const WorkerLink& link) const;
-  /// Whether what is committed of a worker's room is as it has told lately:
-  /// since this host leads without a pause, or shortly before.
+  Eligibility EligibilityOf(const scheduling::Worker& worker,
+                            const WorkerLink& link) const;
+  /// Whether the worker's committed capacity agrees with a report sent since
+  /// `m_rooms_since`, or shortly before.
   /// @pre The link's clock is known.
   bool IsRoomHeard(const WorkerLink& link) const;
-  /// Whether this thread has just come round after a long pause.
-  bool HasStoodStill() const;
-  /// All workers are to tell of their rooms anew.
-  void ForgetRooms();
-  void TakeWord(const std::string& id, WorkerLink& link);
-  static bool IsWordOf(const WorkerLink& link, const WorkerWord& word);
+  /// Whether the last tick was longer ago than kMaxThreadPause.
+  bool WasThreadPaused() const;
+  /// Makes all workers report their capacities again.
+  void DiscardReports();
+  void ApplyReport(const std::string& id, WorkerLink& link);
+  static bool IsReportOf(const WorkerLink& link, const WorkerWord& report);
   bool IsUsable(const scheduling::Worker& worker,
                 const WorkerLink& link) const {
-    return FitnessOf(worker, link) == Fitness::kUsable;
+    return EligibilityOf(worker, link) == Eligibility::kUsable;
   }
-  scheduling::WorkerOutlook LookAt(const Ledger& ledger,
-                                   const scheduling::Worker& worker) const;
+  scheduling::WorkerOutlook AssessWorker(
+      const Ledger& ledger,
+      const scheduling::Worker& worker) const;
 
-  // stops.cc: which runs are to end, and whether they may.
+  // stops.cc: which runs are to be stopped, and whether they may be.
   static void WantStop(const RunKey& key,
                        RunTrack& track,
                        StopReason reason,
-                       const std::optional<StepAway>& others = {});
+                       const std::optional<StepUnavailability>& others = {});
   bool IsStillToStop(const Ledger& ledger,
                      const RunKey& key,
                      const RunTrack& track) const;
-  void WantStops(const Ledger& ledger);
-  void StopStalled(const Ledger& ledger);
+  void RequestDueStops(const Ledger& ledger);
+  void StopStalledRuns(const Ledger& ledger);
   bool IsAtWork(const Ledger& ledger, const scheduling::TaskId& task) const;
-  /// None for a task that ends by itself.
-  std::optional<StepAway> OthersAway(const Ledger& ledger,
-                                     const scheduling::TaskId& task) const;
-  /// Whether a task may be stopped: of a persistent step, fewer others than may
-  /// miss are away.
+  /// None if the task's step is not persistent.
+  std::optional<StepUnavailability> OthersAway(
+      const Ledger& ledger,
+      const scheduling::TaskId& task) const;
+  /// Whether a task may be stopped. In a persistent step with a limit, fewer
+  /// than `may_miss` other tasks must be away.
   bool MayTakeAway(const Ledger& ledger, const scheduling::TaskId& task) const;
 
-  // reports.cc: what an engineer on call needs to tell causes apart.
+  // reports.cc: log lines that show an engineer on call what holds up jobs.
   void Report(const Ledger& ledger);
   void ReportLoad(const Ledger& ledger);
   void ReportWorkers(const Ledger& ledger);
@@ -466,16 +489,16 @@
   void EndLife(const WorkerLife& life, const char* why);
   void EndAnswering(const std::string& worker);
 
-  // crashes.cc: workers that end.
+  // crashes.cc: lost workers and their runs.
   void EndWorker(const Ledger& ledger,
                  const scheduling::Worker& worker,
                  const char* why,
                  Records& records,
                  const std::string& new_life = "");
-  bool IsTakenDown(const scheduling::Worker& worker) const;
+  bool IsPlannedShutdown(const scheduling::Worker& worker) const;
   bool MayHaveLeft(const Ledger& ledger,
                    const scheduling::Worker& worker) const;
-  std::vector<scheduling::CrashSuspect> Judge(
+  std::vector<scheduling::CrashSuspect> ClassifySuspects(
       const Ledger& ledger,
       const scheduling::Worker& worker,
       const std::vector<scheduling::LostRun>& runs,
@@ -490,16 +513,16 @@
   std::vector<scheduling::LostRun> LostRuns(
       const Ledger& ledger,
       const scheduling::Worker& worker) const;
-  scheduling::LossTime WhenLost(const WorkerLink& link) const;
-  scheduling::LossScope ScopeOf(
+  scheduling::LossTime LossTimeOf(const WorkerLink& link) const;
+  scheduling::LossScope LossScopeOf(
       const Ledger& ledger,
       const scheduling::Worker& worker,
-      const std::optional<scheduling::LossTime>& seen) const;
-  void Blame(const Ledger& ledger,
-             const scheduling::Worker& worker,
-             const std::vector<scheduling::LostRun>& runs,
-             const std::optional<scheduling::LossTime>& when,
-             Records& records);
+      const std::optional<scheduling::LossTime>& loss) const;
+  void RecordCrash(const Ledger& ledger,
+                   const scheduling::Worker& worker,
+                   const std::vector<scheduling::LostRun>& runs,
+                   const std::optional<scheduling::LossTime>& loss,
+                   Records& records);
   void BeginLife(const Ledger& ledger,
                  const std::string& worker,
                  WorkerLink& link,
@@ -511,18 +534,19 @@
                      const scheduling::Worker& worker,
                      const HoldReply& reply,
                      Records& records);
-  void TellSuspects(const Ledger& ledger,
-                    const scheduling::WorkerCrashed& crash);
-  void TellLostRuns(const Ledger& ledger,
-                    const scheduling::Worker& worker,
-                    const char* how) const;
-  static Millis WithoutEnd(const WorkerLink& link, const RunTrack& track);
+  void LogSuspects(const Ledger& ledger,
+                   const scheduling::WorkerCrashed& crash);
+  void LogLostRuns(const Ledger& ledger,
+                   const scheduling::Worker& worker,
+                   const char* how) const;
+  static Millis MinRunTime(const WorkerLink& link, const RunTrack& track);
   bool IsSeenAtWork(const Ledger& ledger,
                     const scheduling::Worker& worker,
                     const scheduling::TaskId& id) const;
   bool IsQuarantined(const Ledger& ledger,
                      const scheduling::Worker& worker) const;
-  bool IsSettled(const Ledger& ledger, const scheduling::Worker& worker) const;
+  bool AreRunsSeenAtWork(const Ledger& ledger,
+                         const scheduling::Worker& worker) const;
   HoldOrder MakeHold(WorkerLink& link, Millis wait);
   bool MayLease(const WorkerLink& link) const;
   bool IsLeaseDue(const WorkerLink& link) const;
@@ -532,12 +556,14 @@
                       uint64_t life,
                       const HoldReply& reply);
   void Contact(WorkerLink& link, std::optional<scheduling::WorkerTime> clock);
-  /// Whether this thread is short of processor time: its ticks come late.
-  bool IsBehind() const { return m_tick_lag > kBehind; }
-  Millis OrderTimeout() const { return m_order_time.Timeout() + OwnDelay(); }
+  /// Whether this thread lacks processor time, so that its ticks come late.
+  bool IsBehind() const { return m_tick_lag > kHighTickLag; }
+  Millis OrderTimeout() const {
+    return m_order_answer_time.Timeout() + OwnDelay();
+  }
   void LearnAnswerTime(const CallReply& reply) {
     if (reply.outcome < CallOutcome::kNotReached) {
-      m_order_time.Observe(reply.took);
+      m_order_answer_time.Observe(reply.took);
     }
   }
 
@@ -620,24 +646,26 @@
   scheduling::ReplicatedLog& m_log;
   const uint64_t m_term;
   const SteadyTime m_begun_at;
-  SteadyTime m_rooms_since;  // Words from here on are this leader's own.
+  // Reports sent later were received by this leader. Reset after long pauses.
+  SteadyTime m_rooms_since;
   DispatchCounters& m_counters;
-  scheduling::LeaderLease m_lease;
-  bool m_is_confirming_lead = false;
+  scheduling::LeaderLease m_leader_lease;
+  bool m_is_confirming_leadership = false;
   std::deque<std::function<void()>> m_waiting_acts;
-  scheduling::AnswerTime m_order_time;  // Of orders to workers.
+  scheduling::AnswerTime m_order_answer_time;
   scheduling::Planner m_planner;
   std::unordered_map<std::string, WorkerLink> m_links;  // By worker.
-  /// The newest word of each id, which may be of a life to come.
-  std::unordered_map<std::string, WorkerWord> m_words;
-  /// Of ids whose link was dropped: the number of their last life.
-  std::unordered_map<std::string, uint64_t> m_last_lives;
-  std::optional<uint64_t> m_followed_workers;  // The ledger's version of them.
+  /// The newest report by worker id. It may be from an incarnation that is not
+  /// in the ledger yet.
+  std::unordered_map<std::string, WorkerWord> m_reports;
+  /// By id of a removed worker: the number of its last incarnation.
+  std::unordered_map<std::string, uint64_t> m_last_incarnations;
+  std::optional<uint64_t> m_workers_revision;  // As of m_links.
   std::optional<uint64_t> m_followed_hosts;    // As of m_inventory.
   std::unordered_map<RunKey, RunTrack, RunKeyHash> m_runs;
-  std::deque<LostLife> m_lost_lives;                      // Oldest first.
+  std::deque<LostWorker> m_lost_workers;                  // Oldest first.
   std::unordered_map<std::string, SteadyTime> m_seen_at;  // By open job.
-  std::map<std::string, SteadyTime> m_over_at;            // By ended job.
+  std::map<std::string, SteadyTime> m_job_over_at;        // By ended job.
   std::map<std::string, HostTrack> m_hosts;               // Under maintenance.
   std::map<std::string, SparedHost> m_spared;             // By service.
   std::map<std::string, MoveTrack> m_moves;               // By host.
@@ -654,30 +682,33 @@
   SteadyTime m_next_list{};
   bool m_is_listing = false;
   SteadyTime m_next_forget{};
-  SteadyTime m_next_follow{};
+  SteadyTime m_next_run_sync{};
   SteadyTime m_next_stops{};
   SteadyTime m_next_sight{};
-  DispatchSight m_sight;  // As the last lines told it.
-  // Above this lag of a tick the leader does fewer, larger things: a third of
-  // the time between ticks. A look then brings the ends of 60 ms, not of one.
-  static constexpr Millis kBehind{15};
-  // Two rounds of the longest that a fifth of a core was seen to have, 0.35 s.
-  static constexpr Millis kMostOwnDelay{700};
+  DispatchSight m_sight;  // As in the last report lines.
+  // Above this tick lag, a third of the time between ticks, the leader makes
+  // fewer and larger calls: a hold call then brings the ends of 60 ms instead
+  // of a single end.
+  static constexpr Millis kHighTickLag{15};
+  // Two rounds of a thread's loop on a fifth of a core, which take up to 0.35 s
+  // each.
+  static constexpr Millis kMaxLeaderDelay{700};
 
   static constexpr int kEpochPauseBits = 16;
 
-  uint64_t m_pauses = 0;  // Of this thread, so long that rooms were forgotten.
+  uint64_t m_long_pauses = 0;  // Pauses above kMaxThreadPause.
   SteadyTime m_last_tick{};
   Millis m_tick_lag{0};  // Smoothed.
   SteadyTime m_last_plan{};
-  Millis m_plan_time{0};  // That the last plan took.
+  Millis m_plan_time{0};  // Duration of the last planning pass.
   bool m_is_plan_due = false;
   bool m_is_flush_due = false;
   bool m_is_batch_under_way = false;
-  Records m_batch;  // Waits for others to be committed with.
+  Records m_batch;  // To be committed together.
   std::vector<CommitDone> m_batch_done;
-  std::vector<CommitDone> m_batch_requests;  // Answered whatever happens.
-  std::vector<std::function<void(bool)>> m_batch_reads;  // As these.
+  // These are called even if this leadership ends first.
+  std::vector<CommitDone> m_batch_requests;
+  std::vector<std::function<void(bool)>> m_batch_reads;
 };
 
 }  // namespace laurelhall::dispatch
--- a/packages/dispatch/src/pacing_p.h
+++ b/packages/dispatch/src/pacing_p.h
@@ -7,19 +7,22 @@
 
 namespace laurelhall::dispatch {
 
-/// How hard the filling tasks of one worker may work beside those that serve.
+/// Controls how much of their full speed the filling tasks of one worker may
+/// use beside tasks that serve requests.
 ///
-/// @remarks Pure; not thread-safe. Found by trying, since what disturbs whom
-///   changes within seconds: down by half as soon as a tail comes near its
-///   target, up in small steps while there is distance.
+/// @remarks Pure; not thread-safe. A feedback control, since interference
+/// between
+///   tasks changes within seconds: the speed is halved when a tail latency
+///   comes near its target, and raised in small steps while it is well below.
 class Pacer {
  public:
-  /// Takes in the worst tail as a share of its target.
+  /// @param worst_tail_share The highest ratio of a tail latency to its target.
   void Observe(double worst_tail_share, SteadyTime now);
 
+  /// Allowed share of full speed; 0 means paused.
   uint32_t percent() const { return m_percent; }
 
-  /// What a filling task was last told; new ones work at 100.
+  /// The percentage last sent, by task and run. New tasks work at 100.
   std::map<std::pair<scheduling::TaskId, uint32_t>, uint32_t> told;
 
  private:
--- a/packages/dispatch/src/reports.cc
+++ b/packages/dispatch/src/reports.cc
@@ -13,26 +13,27 @@
 
 namespace {
 
-// Each second: what lasts for shorter is seen in the lines of its task.
-constexpr Millis kSightPeriod{1'000};
-// A job that has nothing at work for longer is told of: about twice what a
-// start takes when the leader is not short of time.
-constexpr Millis kTellsOfWait{1'000};
-// Jobs told of each second, the longest waiting first: what holds these up
-// holds up the others.
-constexpr size_t kMostWaits = 4;
-// Organisations told of each second, those with most at work first.
-constexpr size_t kMostOrganisations = 8;
-
-constexpr const char* kFitnessNames[] = {
+// Shorter conditions show in the log lines of their tasks.
+constexpr Millis kStatusLinesPeriod{1'000};
+// A job is reported if it has nothing at work for longer. That is about twice
+// the time of a start while the leader has enough processor time.
+constexpr Millis kMinReportedWait{1'000};
+// Waiting jobs reported each second, the longest waiting first. What holds them
+// up holds up the others as well.
+constexpr size_t kMaxReportedWaits = 4;
+// Organisations reported each second, those with the most cores in use first.
+constexpr size_t kMaxReportedOrganisations = 8;
+
+constexpr const char* kEligibilityNames[] = {
     "usable",  "not_reached", "silent", "lapsed",    "draining",
     "suspect", "paused",      "stale",  "evacuated", "room_not_heard"};
-static_assert(std::size(kFitnessNames) == static_cast<size_t>(Fitness::kCount));
+static_assert(std::size(kEligibilityNames) ==
+              static_cast<size_t>(Eligibility::kCount));
 
-using FitnessCounts =
-    std::array<uint64_t, static_cast<size_t>(Fitness::kCount)>;
+using EligibilityCounts =
+    std::array<uint64_t, static_cast<size_t>(Eligibility::kCount)>;
 
-// One for each value of an enumeration.
+// A zero count for each value of an enumeration.
 template <typename Kind>
 std::vector<NamedCount> ZeroCounts(const char* (*name)(Kind)) {
   std::vector<NamedCount> counts;
@@ -44,8 +45,8 @@
 
 }  // namespace
 
-const char* FitnessName(Fitness fitness) {
-  return kFitnessNames[static_cast<size_t>(fitness)];
+const char* EligibilityName(Eligibility eligibility) {
+  return kEligibilityNames[static_cast<size_t>(eligibility)];
 }
 
 void DispatchSight::Clear() {
@@ -65,14 +66,14 @@
   if (now < m_next_sight) {
     return;
   }
-  m_next_sight = now + kSightPeriod;
+  m_next_sight = now + kStatusLinesPeriod;
   ReportLoad(ledger);
   ReportWorkers(ledger);
   ReportWaits(ledger);
   ReportOrganisations(ledger);
 }
 
-// Whether the leader itself is the narrow place.
+// Shows whether the leader itself is the bottleneck.
 void Leadership::ReportLoad(const Ledger& ledger) {
   m_sight.tick_lag = m_tick_lag;
   m_sight.open_jobs = ledger.open_jobs().size();
@@ -90,28 +91,30 @@
           .With("runs", static_cast<uint64_t>(m_runs.size())));
 }
 
-// Who of each service may be given work, and what keeps the others from it.
+// Counts the usable workers of each service, and the others by what excludes
+// them.
 void Leadership::ReportWorkers(const Ledger& ledger) {
-  m_sight.workers = ZeroCounts<Fitness>(FitnessName);
-  std::map<std::string, FitnessCounts> services;
+  m_sight.workers = ZeroCounts<Eligibility>(EligibilityName);
+  std::map<std::string, EligibilityCounts> services;
   for (const auto& [id, worker] : ledger.workers()) {
-    const Fitness fitness = FitnessOf(worker, m_links.at(id));
-    ++services[worker.info.service][static_cast<size_t>(fitness)];
-    ++m_sight.workers[static_cast<size_t>(fitness)].count;
+    const Eligibility eligibility = EligibilityOf(worker, m_links.at(id));
+    ++services[worker.info.service][static_cast<size_t>(eligibility)];
+    ++m_sight.workers[static_cast<size_t>(eligibility)].count;
   }
   for (const auto& [service, counts] : services) {
     DecisionLine line("dispatch", "workers");
     line.With("service", service);
     for (size_t each = 0; each < counts.size(); ++each) {
       if (counts[each] > 0) {
-        line.With(FitnessName(static_cast<Fitness>(each)), counts[each]);
+        line.With(EligibilityName(static_cast<Eligibility>(each)),
+                  counts[each]);
       }
     }
     DecisionLog::Get().Write(line);
   }
 }
 
-// What organisations have at work, and whether a cap holds them.
+// Shows the usage of organisations beside their caps.
 void Leadership::ReportOrganisations(const Ledger& ledger) {
   std::vector<std::pair<int64_t, std::string>> busy;
   for (const auto& [name, in_use] : ledger.in_use()) {
@@ -119,10 +122,12 @@
       busy.emplace_back(in_use.millicores, name);
     }
   }
-  const size_t told = std::min(kMostOrganisations, busy.size());
-  std::partial_sort(busy.begin(), busy.begin() + static_cast<ptrdiff_t>(told),
+  const size_t reported_count =
+      std::min(kMaxReportedOrganisations, busy.size());
+  std::partial_sort(busy.begin(),
+                    busy.begin() + static_cast<ptrdiff_t>(reported_count),
                     busy.end(), std::greater<>());
-  for (size_t each = 0; each < told; ++each) {
+  for (size_t each = 0; each < reported_count; ++each) {
     const auto& [millicores, name] = busy[each];
     const scheduling::OrganisationSpec* spec = ledger.keys().Find(name);
     DecisionLine line("dispatch", "organisation");
@@ -136,7 +141,7 @@
   }
 }
 
-// Jobs that could go on and have nothing at work, and why.
+// Shows open jobs that have nothing at work, and why.
 void Leadership::ReportWaits(const Ledger& ledger) {
   const SteadyTime now = Now();
   std::vector<std::pair<SteadyTime, const Job*>> waiting;
@@ -144,22 +149,22 @@
     const Job& job = *ledger.FindJob(id);
     const auto seen = m_seen_at.find(id);
     if (!job.is_over() && job.active_runs == 0 && seen != m_seen_at.end() &&
-        now - seen->second > kTellsOfWait) {
+        now - seen->second > kMinReportedWait) {
       waiting.emplace_back(seen->second, &job);
     }
   }
   m_sight.waiting_jobs = waiting.size();
   m_sight.waits =
       ZeroCounts<scheduling::StartObstacle>(scheduling::StartObstacleName);
-  const size_t told = std::min(kMostWaits, waiting.size());
+  const size_t reported_count = std::min(kMaxReportedWaits, waiting.size());
   std::partial_sort(waiting.begin(),
-                    waiting.begin() + static_cast<ptrdiff_t>(told),
+                    waiting.begin() + static_cast<ptrdiff_t>(reported_count),
                     waiting.end());
-  for (size_t each = 0; each < told; ++each) {
+  for (size_t each = 0; each < reported_count; ++each) {
     const Job& job = *waiting[each].second;
     const auto outlook = m_planner.Explain(
         {ledger, now, m_init.wall_now(),
-         [&](const Worker& worker) { return LookAt(ledger, worker); },
+         [&](const Worker& worker) { return AssessWorker(ledger, worker); },
          m_seen_at},
         job);
     if (!outlook) {
--- a/packages/dispatch/src/stops.cc
+++ b/packages/dispatch/src/stops.cc
@@ -12,22 +12,24 @@
 
 namespace {
 
-constexpr const char* kReasonNames[] = {
+constexpr const char* kStopReasonNames[] = {
     "done",        "cancelled",    "job-failed",        "worker-leaves",
     "maintenance", "stands-still", "start-not-answered"};
-static_assert(std::size(kReasonNames) ==
+static_assert(std::size(kStopReasonNames) ==
               static_cast<size_t>(StopReason::kCount));
 
-// Longer than a busy worker's look takes while the leader is in time, far
-// shorter than the time after which a task counts as away. A leader that is
-// behind waits: what it has not seen lately may be away.
-constexpr Millis kFreshList{1'800};
-// A task whose progress stands still for so long, and twice its estimate, is
-// started again elsewhere.
-constexpr Millis kStalled{2'500};
+// A task counts as at work only if its worker listed it within this time. That
+// is longer than a hold call to a busy worker takes while the leader's ticks
+// are on time, and far shorter than the time after which a task counts as away.
+// A leader whose ticks are late holds stops back: tasks that it has not seen
+// lately may be away.
+constexpr Millis kMaxListAge{1'800};
+// A run whose progress has not changed for this time and for twice its estimate
+// is stopped, and its task is started again elsewhere.
+constexpr Millis kStallTimeout{2'500};
 constexpr Millis kDoubtfulAfterStall{15'000};
 
-StopReason WhyNeedless(const Job& job) {
+StopReason ReasonForObsoleteRun(const Job& job) {
   switch (job.state) {
     case scheduling::JobState::kCancelled:
       return StopReason::kCancelled;
@@ -41,13 +43,13 @@
 }  // namespace
 
 const char* StopReasonName(StopReason reason) {
-  return kReasonNames[static_cast<size_t>(reason)];
+  return kStopReasonNames[static_cast<size_t>(reason)];
 }
 
 void Leadership::WantStop(const RunKey& key,
                           RunTrack& track,
                           StopReason reason,
-                          const std::optional<StepAway>& others) {
+                          const std::optional<StepUnavailability>& others) {
   track.is_stop_wanted = true;
   track.stop_reason = reason;
   DecisionLine line("dispatch", "stop",
@@ -63,8 +65,8 @@
   DecisionLog::Get().Write(line);
 }
 
-// Asked each time that the order goes out: one that was lost is sent again
-// seconds later, when others may have gone down.
+// Checked each time the order is sent. A lost order is sent again seconds
+// later, and other tasks of the step may have gone down by then.
 bool Leadership::IsStillToStop(const Ledger& ledger,
                                const RunKey& key,
                                const RunTrack& track) const {
@@ -73,7 +75,7 @@
          job->is_over() || MayTakeAway(ledger, key.task);
 }
 
-void Leadership::WantStops(const Ledger& ledger) {
+void Leadership::RequestDueStops(const Ledger& ledger) {
   for (auto& [key, track] : m_runs) {
     if (track.is_stop_wanted) {
       continue;
@@ -85,18 +87,19 @@
     const Job& job = *found;
     const size_t index = job.IndexOf(key.task);
     const Worker* worker = ledger.FindWorker(track.worker);
-    const bool is_needless = job.is_over() || job.tasks[index].is_done;
+    const bool is_obsolete = job.is_over() || job.tasks[index].is_done;
     const bool is_leaving = worker != nullptr && worker->info.is_draining &&
                             job.StepOf(index).is_persistent;
-    if (is_needless || is_leaving) {
-      WantStop(key, track,
-               is_needless ? WhyNeedless(job) : StopReason::kWorkerLeaves,
-               OthersAway(ledger, key.task));
+    if (is_obsolete || is_leaving) {
+      WantStop(
+          key, track,
+          is_obsolete ? ReasonForObsoleteRun(job) : StopReason::kWorkerLeaves,
+          OthersAway(ledger, key.task));
     }
   }
 }
 
-void Leadership::StopStalled(const Ledger& ledger) {
+void Leadership::StopStalledRuns(const Ledger& ledger) {
   const SteadyTime now = Now();
   for (auto& [key, track] : m_runs) {
     if (track.is_stop_wanted || !track.is_listed || track.percent >= 100) {
@@ -111,39 +114,39 @@
     const bool is_seen =
         link != m_links.end() &&
         link->second.last_listed - track.percent_since >=
-            std::max<SteadyTime::duration>(kStalled, 2 * step.estimate);
+            std::max<SteadyTime::duration>(kStallTimeout, 2 * step.estimate);
     if (!is_seen || step.is_gang || step.is_filling) {
       continue;
     }
     link->second.doubtful_until = now + kDoubtfulAfterStall;
-    WantStop(key, track, StopReason::kStandsStill,
-             OthersAway(ledger, key.task));
+    WantStop(key, track, StopReason::kStalled, OthersAway(ledger, key.task));
   }
 }
 
-// Whether a task is seen at work and is to stay.
+// Whether a run of the task is known to be at work and is not to be stopped.
 bool Leadership::IsAtWork(const Ledger& ledger, const TaskId& task) const {
   const Job& job = *ledger.FindJob(task.job);
   const auto& runs = job.tasks[job.IndexOf(task)].active;
   return std::any_of(runs.begin(), runs.end(), [&](const auto& active) {
     const auto track = m_runs.find({task, active.run});
     const auto link = m_links.find(active.worker);
-    // What a silent worker listed last may be over long since.
+    // The runs that a silent worker listed last may have ended since.
     const bool is_fresh = link != m_links.end() && !link->second.is_silent &&
-                          Now() - link->second.last_listed < kFreshList;
+                          Now() - link->second.last_listed < kMaxListAge;
     return is_fresh && track != m_runs.end() && track->second.is_listed &&
            track->second.percent >= 100 && !track->second.is_stop_wanted;
   });
 }
 
-std::optional<StepAway> Leadership::OthersAway(const Ledger& ledger,
-                                               const TaskId& task) const {
+std::optional<StepUnavailability> Leadership::OthersAway(
+    const Ledger& ledger,
+    const TaskId& task) const {
   const Job& job = *ledger.FindJob(task.job);
   const scheduling::StepSpec& step = job.spec.steps[task.step];
   if (!step.is_persistent) {
     return std::nullopt;
   }
-  StepAway others{0, step.may_miss};
+  StepUnavailability others{0, step.may_miss};
   TaskId other = task;
   for (other.index = 0; other.index < step.count; ++other.index) {
     const bool is_other = other.index != task.index;
@@ -153,7 +156,7 @@
 }
 
 bool Leadership::MayTakeAway(const Ledger& ledger, const TaskId& task) const {
-  const std::optional<StepAway> others = OthersAway(ledger, task);
+  const std::optional<StepUnavailability> others = OthersAway(ledger, task);
   return !others || others->may_miss == 0 || others->away < others->may_miss;
 }
 
--- a/packages/dispatch/tests/incidents/crash_loop_test.cc
+++ b/packages/dispatch/tests/incidents/crash_loop_test.cc
@@ -1,8 +1,8 @@
-// Seen: tasks that crash each worker that starts them were started again every
-// three seconds for as long as the day lasted, and kept 31 of 38 workers of a
-// service down with all that ran there. How: a run that ends with its worker
-// ends as lapsed, which counts towards no limit. Cause: nothing counted the
-// workers that went down under a task.
+// Guards against starting a task that crashes each of its workers again and
+// again. A run that ends with its worker ends as lapsed, which counts towards
+// no limit, and the crashed workers were not counted by task. So such tasks
+// were started every three seconds for good, and kept 31 of the 38 workers of a
+// service down with all their other runs.
 
 #include <doctest/doctest.h>
 
@@ -17,8 +17,8 @@
   return Step(count, {}, Millis(800));
 }
 
-// Six workers that are half full, and a job whose only task crashes each worker
-// that starts it, 10 ms after its start.
+// Six workers. The task of the job "culprit" crashes each worker that starts it
+// 10 ms after the start. The other jobs fill about half of the capacity.
 class CrashLoopFixture {
  protected:
   CrashLoopFixture() {
@@ -40,7 +40,7 @@
     }
   }
 
-  void CheckClean() const {
+  void CheckNoViolations() const {
     for (const std::string& violation : world.violations()) {
       FAIL_CHECK(violation);
     }
@@ -52,11 +52,10 @@
   std::vector<std::string> m_bystanders;
 };
 
-// Guards against a crash loop: workers that go down under a task are counted,
-// and its job is given up.
+// Guards against an endless crash loop.
 TEST_CASE_FIXTURE(CrashLoopFixture,
-                  "Dispatcher, task crashes its workers, job is given up and "
-                  "others go on") {
+                  "Dispatcher, task crashes its workers, its job is given up "
+                  "and others succeed") {
   for (int round = 0; round < 20; ++round) {
     SubmitBystanders(2);
     if (round == 2) {
@@ -68,14 +67,14 @@
   CHECK(world.StateOf("culprit") == JobState::kFailed);
   CHECK(world.StartsOf("culprit.0.0.0") <= 5);
   CheckBystandersSucceeded();
-  CheckClean();
+  CheckNoViolations();
 }
 
-// Guards against a count that a new leader or a restart of all control hosts
-// starts anew.
+// Guards against losing the count of crashes when the leader changes or all
+// control hosts restart.
 TEST_CASE_FIXTURE(CrashLoopFixture,
-                  "Dispatcher, leaders change between crashes, job is given up "
-                  "all the same") {
+                  "Dispatcher, leaders change between crashes, job is given "
+                  "up") {
   SubmitBystanders(4);
   world.Submit("culprit", {Tasks(1)});
   for (int change = 0; change < 8; ++change) {
@@ -90,13 +89,14 @@
   CHECK(world.StateOf("culprit") == JobState::kFailed);
   CHECK(world.StartsOf("culprit.0.0.0") <= 5);
   CheckBystandersSucceeded();
-  CheckClean();
+  CheckNoViolations();
 }
 
-// Guards against a culprit whose crash shows only after its lease ran out: its
-// worker comes back later than that.
+// Guards against missing a crash that shows only after the lease has expired,
+// since the worker is back later than that.
 TEST_CASE_FIXTURE(CrashLoopFixture,
-                  "Dispatcher, worker is back after its lease, crash counts") {
+                  "Dispatcher, worker is back after its lease expired, crash "
+                  "counts") {
   world.crash_pause = Millis(9'000);
   SubmitBystanders(2);
   world.Submit("culprit", {Tasks(1)});
@@ -104,14 +104,14 @@
   CHECK(world.StateOf("culprit") == JobState::kFailed);
   CHECK(world.StartsOf("culprit.0.0.0") <= 5);
   CheckBystandersSucceeded();
-  CheckClean();
+  CheckNoViolations();
 }
 
-// Guards against a culprit that works for a while before it takes its worker
-// down, so that newer runs beside it draw the suspicion.
+// Guards against blaming newer runs beside a task that works for a while before
+// it crashes its worker.
 TEST_CASE_FIXTURE(
     CrashLoopFixture,
-    "Dispatcher, task crashes its workers late, job is given up") {
+    "Dispatcher, task crashes its workers after a while, job is given up") {
   world.crashing["culprit.0.0.0"] = Millis(1'500);
   scheduling::StepSpec slow = Tasks(1);
   slow.estimate = Millis(4'000);
@@ -124,12 +124,12 @@
   CHECK(world.StateOf("culprit") == JobState::kFailed);
   CHECK(world.StartsOf("culprit.0.0.0") <= 5);
   CheckBystandersSucceeded();
-  CheckClean();
+  CheckNoViolations();
 }
 
-// Guards the other cost: what merely stood beside crashes is not given up.
+// Guards against giving up tasks that merely ran beside crashes.
 TEST_CASE_FIXTURE(CrashLoopFixture,
-                  "Dispatcher, tasks beside two crashes, are done") {
+                  "Dispatcher, tasks beside two crashes, succeed") {
   SubmitBystanders(3);
   world.Advance(Millis(100));
   for (int crash = 0; crash < 2; ++crash) {
@@ -140,12 +140,12 @@
   }
   world.Advance(Millis(20'000));
   CheckBystandersSucceeded();
-  CheckClean();
+  CheckNoViolations();
 }
 
 TEST_CASE_FIXTURE(
     CrashLoopFixture,
-    "Dispatcher, persistent tasks beside crashes for long, stay") {
+    "Dispatcher, persistent tasks beside eight crashes, keep running") {
   scheduling::StepSpec step = Tasks(3);
   step.is_persistent = true;
   world.Submit("audit", {step});
@@ -160,10 +160,10 @@
   world.Advance(Millis(10'000));
   CHECK(world.StateOf("audit") == JobState::kRunning);
   CHECK(world.ledger().FindJob("audit")->active_runs == 3);
-  CheckClean();
+  CheckNoViolations();
 }
 
-// Eight workers in two racks, and one task alone on each worker.
+// Eight workers in two racks. The jobs of the tests need whole workers.
 class LostRackFixture {
  protected:
   LostRackFixture() {
@@ -183,9 +183,9 @@
   World world{7};
 };
 
-// Guards against a rack's loss that is taken for the fault of what ran there.
+// Guards against blaming the tasks on a rack for the loss of the rack.
 TEST_CASE_FIXTURE(LostRackFixture,
-                  "Dispatcher, racks are lost twice, no job is given up") {
+                  "Dispatcher, racks are lost twice, all jobs succeed") {
   for (int job = 0; job < 8; ++job) {
     scheduling::StepSpec whole = Tasks(1);
     whole.need = {4'000, 16'000, 0};
@@ -209,10 +209,11 @@
   }
 }
 
-// Guards against a rack's loss that is not seen as one, since its workers are
-// back one after the other and the older life of one is still known.
+// Guards against missing the loss of a rack because its workers come back one
+// after another while an older incarnation of one is still in the ledger.
 TEST_CASE_FIXTURE(LostRackFixture,
-                  "Dispatcher, rack comes back by and by, no job is given up") {
+                  "Dispatcher, workers of a lost rack come back one by one, "
+                  "all jobs succeed") {
   for (int job = 0; job < 4; ++job) {
     scheduling::StepSpec whole = Tasks(1);
     whole.need = {4'000, 16'000, 0};
@@ -235,9 +236,9 @@
   }
 }
 
-// Guards against the load that was seen: many culprits at once, each of which
-// took one worker after the other out of a pool in a rush.
-TEST_CASE("Dispatcher, many tasks crash their workers, the rush is served") {
+// Guards against losing most of a pool to many tasks at once that each crash
+// one worker after another during a load peak.
+TEST_CASE("Dispatcher, many tasks crash their workers, other jobs succeed") {
   World world(7);
   for (int worker = 0; worker < 24; ++worker) {
     world.AddWorker("host-" + std::to_string(worker), "teklif",
--- a/packages/dispatch/tests/incidents/culprits_in_a_rush_test.cc
+++ b/packages/dispatch/tests/incidents/culprits_in_a_rush_test.cc
@@ -1,7 +1,8 @@
-// Seen: in a rush with culprits among its jobs, 25 sound jobs and standing
-// services were given up in half a minute. How: all that went down once was put
-// together with others after two seconds, and went down with them again. Cause:
-// one empty worker at a time was kept for suspects, however many waited.
+// Guards against giving up healthy jobs in a load peak with some jobs that
+// crash their workers. Only one empty worker at a time was kept for suspects,
+// however many waited. After two seconds suspects were started together with
+// other tasks, and were lost with them again: 25 healthy jobs and persistent
+// services were given up within half a minute.
 
 #include <doctest/doctest.h>
 
@@ -14,21 +15,21 @@
 
 constexpr int kWorkers = 10;
 constexpr int kRounds = 50;
-constexpr uint32_t kStandingTasks = 6;
+constexpr uint32_t kPersistentTaskCount = 6;
 
 struct Losses {
-  size_t sound = 0;           ///< Short jobs that crash nothing.
-  size_t sound_given_up = 0;  ///< Of these.
-  uint64_t crashes = 0;       ///< By culprits.
+  size_t healthy_jobs = 0;      ///< Short jobs that crash no workers.
+  size_t healthy_given_up = 0;  ///< Of these.
+  uint64_t crashes = 0;         ///< Workers crashed by culprits.
   size_t culprits = 0;
-  size_t standing_lost = 0;  ///< Tasks that no longer run at the end.
+  size_t persistent_lost = 0;  ///< Persistent tasks that do not run at the end.
 
   void Add(const Losses& other) {
-    sound += other.sound;
-    sound_given_up += other.sound_given_up;
+    healthy_jobs += other.healthy_jobs;
+    healthy_given_up += other.healthy_given_up;
     crashes += other.crashes;
     culprits += other.culprits;
-    standing_lost += other.standing_lost;
+    persistent_lost += other.persistent_lost;
   }
 };
 
@@ -46,7 +47,7 @@
     m_world.weather = {0, Pick(0, 2) * 0.02, Pick(0, 1) * 0.03, 0};
     m_world.reborn = Pick(0, 2) * 0.5;
     for (const char* id : {"watch", "audit"}) {
-      scheduling::StepSpec step = Step(kStandingTasks);
+      scheduling::StepSpec step = Step(kPersistentTaskCount);
       step.is_persistent = true;
       step.spread_limit = 1;
       step.may_miss = 1;
@@ -59,7 +60,7 @@
     const int wave_at = Pick(0, 2 * kRounds);
     for (int round = 0; round < kRounds; ++round) {
       Submit(round);
-      Disturb();
+      InjectFaults();
       if (round == wave_at) {
         m_world.OpenWave(m_hosts);
       }
@@ -88,12 +89,12 @@
         m_world.crashing[id + ".0.0.0"] = Millis(10);
         m_culprits.push_back(id);
       } else {
-        m_sound.push_back(id);
+        m_healthy_jobs.push_back(id);
       }
     }
   }
 
-  void Disturb() {
+  void InjectFaults() {
     if (Pick(0, 19) == 0) {
       const std::string life =
           m_world.LifeOn(m_hosts[static_cast<size_t>(Pick(0, kWorkers - 1))]);
@@ -110,60 +111,61 @@
   }
 
   std::vector<std::string> Check() {
-    std::vector<std::string> wrong = m_world.violations();
-    m_losses.sound = m_sound.size();
+    std::vector<std::string> check_findings = m_world.violations();
+    m_losses.healthy_jobs = m_healthy_jobs.size();
     m_losses.culprits = m_culprits.size();
-    for (const std::string& id : m_sound) {
+    for (const std::string& id : m_healthy_jobs) {
       const JobState state = m_world.StateOf(id);
-      m_losses.sound_given_up += state == JobState::kFailed ? 1 : 0;
-      // What went down with two workers may be taken for a culprit.
+      m_losses.healthy_given_up += state == JobState::kFailed ? 1 : 0;
+      // A job that was lost with two workers may be taken for a culprit.
       const bool may_fail = m_world.MostDeathsUnder(id) >= 2;
       if (state != JobState::kSucceeded &&
           !(state == JobState::kFailed && may_fail)) {
-        wrong.push_back(id + " is " + JobStateName(state));
+        check_findings.push_back(id + " is " + JobStateName(state));
       }
     }
     for (const std::string& id : m_culprits) {
       m_losses.crashes += m_world.CrashesOf(id + ".0.0.0");
       if (m_world.StateOf(id) != JobState::kFailed) {
-        wrong.push_back(id + " is not given up");
+        check_findings.push_back(id + " is not given up");
       }
     }
     for (const char* id : {"watch", "audit"}) {
       const uint32_t at_work = m_world.ledger().FindJob(id)->active_runs;
-      m_losses.standing_lost += kStandingTasks - at_work;
-      if (at_work != kStandingTasks) {
-        wrong.push_back(std::string(id) + " has " + std::to_string(at_work) +
-                        " tasks at work");
+      m_losses.persistent_lost += kPersistentTaskCount - at_work;
+      if (at_work != kPersistentTaskCount) {
+        check_findings.push_back(std::string(id) + " has " +
+                                 std::to_string(at_work) + " tasks at work");
       }
     }
-    return wrong;
+    return check_findings;
   }
 
   World m_world;
   std::vector<std::string> m_hosts;
-  std::vector<std::string> m_sound;
+  std::vector<std::string> m_healthy_jobs;
   std::vector<std::string> m_culprits;
   Losses m_losses;
 };
 
-// A hundredth of the sound jobs may be taken for culprits.
-// LAURELHALL_SEEDS plays more than the fixed set, from LAURELHALL_FIRST_SEED.
+// One in a hundred of the healthy jobs may be taken for a culprit.
+// LAURELHALL_SEEDS sets the number of seeds to play, starting with
+// LAURELHALL_FIRST_SEED, instead of the fixed set.
 TEST_CASE(
-    "Dispatcher, seeded rushes with culprits, standing jobs stay and few sound "
-    "ones are given up") {
+    "Dispatcher, seeded load peaks with culprits, persistent jobs keep running "
+    "and few healthy ones are given up") {
   Losses losses;
   for (const uint64_t seed : SeedsToPlay(12)) {
     CulpritSchedule schedule(seed);
-    for (const std::string& wrong : schedule.Play()) {
-      FAIL_CHECK("seed ", seed, ": ", wrong);
+    for (const std::string& check_findings : schedule.Play()) {
+      FAIL_CHECK("seed ", seed, ": ", check_findings);
     }
     losses.Add(schedule.losses());
   }
-  CHECK(losses.sound_given_up * 100 <= losses.sound);
-  MESSAGE("sound ", losses.sound, ", given up ", losses.sound_given_up,
-          "; culprits ", losses.culprits, ", crashes ", losses.crashes,
-          "; standing tasks lost ", losses.standing_lost);
+  CHECK(losses.healthy_given_up * 100 <= losses.healthy_jobs);
+  MESSAGE("healthy ", losses.healthy_jobs, ", given up ",
+          losses.healthy_given_up, "; culprits ", losses.culprits, ", crashes ",
+          losses.crashes, "; persistent tasks lost ", losses.persistent_lost);
 }
 
 }  // namespace
--- a/packages/dispatch/tests/incidents/lag_forgotten_test.cc
+++ b/packages/dispatch/tests/incidents/lag_forgotten_test.cc
@@ -1,8 +1,7 @@
-// Seen: on plays of one leader that was held up once, a time-out of 9.5 s for
-// an order. How: the lag of the ticks is added to time-outs three times,
-// without a bound, and wears off by a tenth a tick in whole milliseconds: below
-// 10 ms nothing is taken off any more. Cause: what is worn is a share of what
-// is left, rounded down.
+// Guards against timeouts that stay long after a leader's thread was delayed
+// once. Three times the tick lag is added to each timeout. The lag had no bound
+// and fell by a tenth per tick, rounded down to whole milliseconds, so that it
+// never fell below 10 ms. An order got a timeout of 9.5 s.
 
 #include <doctest/doctest.h>
 
@@ -11,11 +10,11 @@
 namespace laurelhall::dispatch {
 namespace {
 
-// A leader that learnt how long answers take, and was then held up once for
-// less than an election takes.
-class HeldUpOnceFixture {
+// A leader that has measured how long answers take, and whose thread is then
+// delayed once for less than an election takes.
+class DelayedLeaderFixture {
  protected:
-  HeldUpOnceFixture() {
+  DelayedLeaderFixture() {
     world.AddWorkers(6);
     for (int job = 0; job < 10; ++job) {
       Submit("calm-" + std::to_string(job));
@@ -39,16 +38,16 @@
   Millis m_before{0};
 };
 
-TEST_CASE_FIXTURE(HeldUpOnceFixture,
-                  "Dispatcher, lag is over for 2 s, time-outs are as before") {
+TEST_CASE_FIXTURE(DelayedLeaderFixture,
+                  "Dispatcher, lag ended 2 s ago, timeouts are as before") {
   world.Advance(Millis(2'000));
   Submit("after");
   world.Advance(Millis(100));
   CHECK(world.last_timeout() == m_before);
 }
 
-TEST_CASE_FIXTURE(HeldUpOnceFixture,
-                  "Dispatcher, lag is over for 20 s, time-outs are as before") {
+TEST_CASE_FIXTURE(DelayedLeaderFixture,
+                  "Dispatcher, lag ended 20 s ago, timeouts are as before") {
   world.Advance(Millis(20'000));
   Submit("after");
   world.Advance(Millis(100));
--- a/packages/dispatch/tests/incidents/own_lag_test.cc
+++ b/packages/dispatch/tests/incidents/own_lag_test.cc
@@ -1,11 +1,10 @@
-// Seen: with a leader short of processor time a fifth of all workers counted as
-// suspect or silent at a time, though each had answered, and tasks that ran
-// were stopped and started elsewhere. How: the time of a call runs out on the
-// leader's own thread. When that came round every 0.1 to 0.25 s only, answers
-// that had long come were read after the time that answers had taken before,
-// 120 ms. Cause: the leader's own delay was taken for the workers'. Proof:
-// `dispatch workers` lines with 61 of 323 workers "suspect" and 27 "silent" in
-// seconds with `tick_lag_ms` 150, on control hosts with 0.20 cores.
+// Guards against taking the leader's own delay for that of its workers. A
+// call's timeout runs on the leader's thread. On control hosts with 0.20 cores
+// that thread came round only every 0.1 to 0.25 s, so that answers which had
+// long come were read after the timeout of 120 ms, learnt from earlier answers.
+// With a `tick_lag_ms` of 150, the `dispatch workers` lines showed 61 of 323
+// workers as "suspect" and 27 as "silent", about a fifth, though each had
+// answered, and running tasks were stopped and started elsewhere.
 
 #include <doctest/doctest.h>
 
@@ -14,8 +13,8 @@
 namespace laurelhall::dispatch {
 namespace {
 
-// A leader that learnt on a quiet thread how long answers take, and is then so
-// busy that its thread comes round four times a second.
+// A leader that has measured how long answers take while its thread is idle,
+// and whose thread then comes round only four times a second.
 class BusyLeaderFixture {
  protected:
   BusyLeaderFixture() {
@@ -40,7 +39,7 @@
 };
 
 TEST_CASE_FIXTURE(BusyLeaderFixture,
-                  "Dispatcher, thread is slow, answered orders count") {
+                  "Dispatcher, thread is slow, answers to orders are counted") {
   world.Submit("a", {Tasks(20)});
   world.Advance(Millis(4'000));
   CHECK(world.unknown_calls() == 0);
@@ -48,7 +47,7 @@
 }
 
 TEST_CASE_FIXTURE(BusyLeaderFixture,
-                  "Dispatcher, thread is slow, persistent tasks stay") {
+                  "Dispatcher, thread is slow, persistent tasks keep running") {
   scheduling::StepSpec step = Tasks(12);
   step.is_persistent = true;
   world.Submit("p", {step});
--- a/packages/dispatch/tests/incidents/standing_service_test.cc
+++ b/packages/dispatch/tests/incidents/standing_service_test.cc
@@ -1,8 +1,9 @@
-// Seen: a job whose tasks last was given up, and its sound tasks were stopped
-// together while one of them was away, though none of them had crashed
-// anything. How: tasks that stand all day beside crashing workers went down
-// with five of them. Cause: crashes counted whatever the evidence, and the end
-// of a job ended its tasks without asking how many may be away.
+// Guards against giving up a job with persistent tasks because of crashes that
+// they did not cause. Such tasks run all day, so they can be lost with five
+// crashing workers. The fault was that each of these crashes counted against
+// the task, whatever the evidence, and that giving up the job stopped its
+// healthy tasks together, even while one of them was away, without regard to
+// may_miss.
 
 #include <doctest/doctest.h>
 
@@ -13,11 +14,11 @@
 
 using scheduling::JobState;
 
-// A service of eight workers with two standing jobs of four tasks, of which one
-// may be missed.
-class StandingServiceFixture {
+// Eight workers and two jobs of four persistent tasks each, of which one may be
+// away.
+class PersistentServiceFixture {
  protected:
-  StandingServiceFixture() {
+  PersistentServiceFixture() {
     world.AddWorkers(8);
     world.Advance(Millis(500));
     scheduling::StepSpec step = Step(4);
@@ -29,17 +30,17 @@
     world.Advance(Millis(3'000));
   }
 
-  // A worker on which a task is at work goes down.
-  void CrashUnder(const std::string& job, uint32_t task) {
+  // Crashes the worker on which the task runs, if any.
+  void CrashWorkerOf(const std::string& job, uint32_t task) {
     const auto& active = world.ledger().FindJob(job)->tasks[task].active;
     if (!active.empty()) {
       world.Crash(active[0].worker, Millis(3'000));
     }
   }
 
-  // A wave asks the first task of "watch" to leave, and its orders are lost for
-  // a time, in which the worker of the second goes down. Returns the worker
-  // that is to be left.
+  // Opens a wave on the host of the first task of "watch" and loses all orders
+  // for `lost_for` more. Meanwhile the worker of the second task crashes.
+  // Returns the worker of the first task.
   std::string LoseStopOfFirstTask(Millis lost_for) {
     const scheduling::Job& watch = *world.ledger().FindJob("watch");
     const std::string leaving = watch.tasks[0].active[0].worker;
@@ -52,11 +53,11 @@
     return leaving;
   }
 
-  uint32_t AtWork(const std::string& job) const {
+  uint32_t ActiveRuns(const std::string& job) const {
     return world.ledger().FindJob(job)->active_runs;
   }
 
-  void CheckClean() const {
+  void CheckNoViolations() const {
     for (const std::string& violation : world.violations()) {
       FAIL_CHECK(violation);
     }
@@ -65,43 +66,43 @@
   World world{11};
 };
 
-// Guards against a standing job that is given up for the crashes beside it.
-TEST_CASE_FIXTURE(StandingServiceFixture,
+// Guards against giving up a persistent job for crashes caused by other tasks.
+TEST_CASE_FIXTURE(PersistentServiceFixture,
                   "Dispatcher, persistent task beside a crash every few "
-                  "seconds, its job stays") {
+                  "seconds, its job keeps running") {
   for (int crash = 0; crash < 12; ++crash) {
     world.Submit("short-" + std::to_string(crash), {Step(8)});
     world.Advance(Millis(300));
-    CrashUnder("watch", 0);
+    CrashWorkerOf("watch", 0);
     world.Advance(Millis(5'500));
   }
   world.Advance(Millis(10'000));
   CHECK(world.StateOf("watch") == JobState::kRunning);
-  CHECK(AtWork("watch") == 4);
-  CheckClean();
+  CHECK(ActiveRuns("watch") == 4);
+  CheckNoViolations();
 }
 
-// Guards against time at work that is forgotten with the leader that saw it.
-TEST_CASE_FIXTURE(StandingServiceFixture,
-                  "Dispatcher, leaders change before each crash, standing job "
-                  "stays") {
+// Guards against losing the observed time at work when the leader changes.
+TEST_CASE_FIXTURE(PersistentServiceFixture,
+                  "Dispatcher, leaders change before each crash, persistent "
+                  "job keeps running") {
   for (int crash = 0; crash < 8; ++crash) {
     world.Advance(Millis(12'000));
     world.Submit("short-" + std::to_string(crash), {Step(8)});
     world.ChangeLeader(Millis(200));
-    CrashUnder("watch", 1);
+    CrashWorkerOf("watch", 1);
   }
   world.Advance(Millis(12'000));
   CHECK(world.StateOf("watch") == JobState::kRunning);
-  CHECK(AtWork("watch") == 4);
-  CheckClean();
+  CHECK(ActiveRuns("watch") == 4);
+  CheckNoViolations();
 }
 
-// Guards against sound tasks that are taken from their users with the one that
+// Guards against giving up healthy tasks of a job together with the task that
 // crashes its workers.
-TEST_CASE_FIXTURE(StandingServiceFixture,
-                  "Dispatcher, one persistent task crashes its workers, it "
-                  "alone is given up") {
+TEST_CASE_FIXTURE(PersistentServiceFixture,
+                  "Dispatcher, one persistent task crashes its workers, only "
+                  "this task is given up") {
   scheduling::StepSpec step = Step(3);
   step.is_persistent = true;
   step.may_miss = 1;
@@ -109,17 +110,17 @@
   world.Submit("culprit", {step});
   world.Advance(Millis(60'000));
   CHECK(world.StartsOf("culprit.0.0.1") <= 5);
-  CHECK(AtWork("culprit") == 2);
+  CHECK(ActiveRuns("culprit") == 2);
   CHECK(world.StateOf("culprit") == JobState::kRunning);
-  CHECK(AtWork("watch") == 4);
-  CHECK(AtWork("audit") == 4);
-  CheckClean();
+  CHECK(ActiveRuns("watch") == 4);
+  CHECK(ActiveRuns("audit") == 4);
+  CheckNoViolations();
 }
 
-// Guards against a caller who waits for a job of which nothing can run.
-TEST_CASE_FIXTURE(StandingServiceFixture,
-                  "Dispatcher, each task of a standing job crashes its "
-                  "workers, the job fails") {
+// Guards against a job that stays open although none of its tasks can run.
+TEST_CASE_FIXTURE(PersistentServiceFixture,
+                  "Dispatcher, all tasks of a persistent job crash their "
+                  "workers, job fails") {
   scheduling::StepSpec step = Step(2);
   step.is_persistent = true;
   step.may_miss = 1;
@@ -130,47 +131,47 @@
   CHECK(world.StartsOf("culprit.0.0.0") <= 5);
   CHECK(world.StartsOf("culprit.0.0.1") <= 5);
   CHECK(world.StateOf("culprit") == JobState::kFailed);
-  CHECK(AtWork("watch") == 4);
-  CheckClean();
+  CHECK(ActiveRuns("watch") == 4);
+  CheckNoViolations();
 }
 
-// Guards against a task that fails for good and takes the standing tasks of its
-// job with it.
-TEST_CASE_FIXTURE(StandingServiceFixture,
-                  "Dispatcher, a task beside standing ones fails for good, "
-                  "they stay") {
-  scheduling::StepSpec standing = Step(3);
-  standing.is_persistent = true;
-  standing.may_miss = 1;
+// Guards against stopping the persistent tasks of a job when another task of it
+// fails for good.
+TEST_CASE_FIXTURE(PersistentServiceFixture,
+                  "Dispatcher, task beside persistent ones fails for good, "
+                  "they keep running") {
+  scheduling::StepSpec persistent_step = Step(3);
+  persistent_step.is_persistent = true;
+  persistent_step.may_miss = 1;
   world.failing = 1;
-  world.Submit("mixed", {standing, Step(1)});
+  world.Submit("mixed", {persistent_step, Step(1)});
   world.Advance(Millis(30'000));
-  CHECK(AtWork("mixed") == 3);
-  CheckClean();
+  CHECK(ActiveRuns("mixed") == 3);
+  CheckNoViolations();
 }
 
-// Guards against a stop that is sent again seconds after it was decided, when
-// another task of its step has gone down.
-TEST_CASE_FIXTURE(StandingServiceFixture,
-                  "Wave, stop is not answered and another task goes down, the "
+// Guards against sending a lost stop again after another task of its step has
+// gone down.
+TEST_CASE_FIXTURE(PersistentServiceFixture,
+                  "Wave, stop is not answered and another task goes down, "
                   "stop is held back") {
   LoseStopOfFirstTask(Millis(4'700));
   world.Advance(Millis(20'000));
-  CHECK(AtWork("watch") == 4);
+  CHECK(ActiveRuns("watch") == 4);
   CHECK(world.maintained().size() == 1);
-  CheckClean();
+  CheckNoViolations();
 }
 
-// Guards against a stop that is held back for the others of its step, though
-// the caller has cancelled them all.
-TEST_CASE_FIXTURE(StandingServiceFixture,
-                  "Wave, stop is held back and the job is cancelled, all its "
-                  "tasks end") {
+// Guards against holding a stop back for the other tasks of its step after the
+// caller has cancelled the job.
+TEST_CASE_FIXTURE(PersistentServiceFixture,
+                  "Wave, stop is held back and its job is cancelled, all tasks "
+                  "end") {
   const std::string leaving = LoseStopOfFirstTask(Millis(1'000));
   world.Cancel("watch");
   world.Advance(Millis(3'000));
   CHECK(world.worker(leaving).runs().count({"watch", 0, 0, 0}) == 0);
-  CheckClean();
+  CheckNoViolations();
 }
 
 }  // namespace
--- a/packages/dispatch/tests/incidents/stands_still_unlooked_test.cc
+++ b/packages/dispatch/tests/incidents/stands_still_unlooked_test.cc
@@ -1,10 +1,9 @@
-// Seen: up to 231 tasks of 57 workers stopped as standing still on a day on
-// which 14 workers were cut off, all of them while commits were slow.
-// How: no look goes out while the ends of the last one are being committed.
-// Answers to orders come meanwhile and count as word of the worker, but tell
-// nothing of its tasks.
-// Cause: how long a task stands still is counted up to the last word of any
-// kind, not up to the last list.
+// Guards against stopping running tasks as stalled while commits are slow. No
+// hold call is made while the ends of the last one are being committed. Answers
+// to orders still come and count as contact with the worker, but do not list
+// its tasks. The time without progress was measured up to the last contact
+// instead of the last list, so up to 231 tasks of 57 workers were stopped while
+// only 14 workers were cut off.
 
 #include <doctest/doctest.h>
 
@@ -13,11 +12,11 @@
 namespace laurelhall::dispatch {
 namespace {
 
-// One task that takes longer than its estimate, one whose end keeps the next
-// look waiting, and one that is cancelled then.
-class UnlookedWorkerFixture {
+// One task that takes longer than its estimate, one whose end delays the next
+// hold call while commits are slow, and one that is cancelled meanwhile.
+class DelayedHoldFixture {
  protected:
-  UnlookedWorkerFixture() {
+  DelayedHoldFixture() {
     world.AddWorkers(1);
     world.Advance(Millis(1'000));
     world.stretch = 7;
@@ -40,8 +39,9 @@
   World world{7};
 };
 
-TEST_CASE_FIXTURE(UnlookedWorkerFixture,
-                  "Dispatcher, no look for a while, running tasks stay") {
+TEST_CASE_FIXTURE(DelayedHoldFixture,
+                  "Dispatcher, no hold call for a while, running tasks are "
+                  "not stopped") {
   REQUIRE(world.starts() == 3);
   world.SlowCommits(Millis(4'000));
   world.Advance(Millis(3'200));
@@ -53,8 +53,9 @@
   CHECK(world.StateOf("long") == scheduling::JobState::kSucceeded);
 }
 
-TEST_CASE_FIXTURE(UnlookedWorkerFixture,
-                  "Dispatcher, looks go on, running tasks stay") {
+TEST_CASE_FIXTURE(DelayedHoldFixture,
+                  "Dispatcher, hold calls go on, running tasks are not "
+                  "stopped") {
   world.Advance(Millis(3'200));
   world.Cancel("lasting");
   world.Advance(Millis(10'000));
--- a/packages/dispatch/tests/lease_test.cc
+++ b/packages/dispatch/tests/lease_test.cc
@@ -2,7 +2,8 @@
 
 #include "world.h"
 
-// Leases of sound workers while only the control hosts are slow.
+// Guards against leases of healthy workers that expire, and against orders that
+// are sent too late, while the control hosts are slow or change leaders.
 namespace laurelhall::dispatch {
 namespace {
 
@@ -33,7 +34,8 @@
 };
 
 TEST_CASE_FIXTURE(LeaseFixture,
-                  "Dispatcher, quorum's word slow for long, leases go on") {
+                  "Dispatcher, quorum confirms slowly for 20 s, leases do "
+                  "not expire") {
   m_world.SlowCommits(Millis(700));
   m_world.Advance(Millis(20'000));
   m_world.SlowCommits(Millis(5));
@@ -42,12 +44,12 @@
 }
 
 TEST_CASE_FIXTURE(LeaseFixture,
-                  "Dispatcher, cancelled while its starts wait for a quorum's "
-                  "word, none goes out") {
+                  "Dispatcher, job cancelled while its starts wait for a "
+                  "quorum, none is sent") {
   m_world.SlowCommits(Millis(700));
   m_world.SlowWords(Millis(3'000));
   m_world.Submit("cancelled", {Step(4)});
-  m_world.Advance(Millis(1'500));  // Committed, and not sent.
+  m_world.Advance(Millis(1'500));  // Starts are committed, but not sent.
   const uint64_t before = m_world.starts();
   m_world.Cancel("cancelled");
   m_world.SlowCommits(Millis(5));
@@ -56,8 +58,9 @@
   CHECK(m_world.starts() == before);
 }
 
-TEST_CASE_FIXTURE(LeaseFixture,
-                  "Dispatcher, commit of ends takes long, leases go on") {
+TEST_CASE_FIXTURE(
+    LeaseFixture,
+    "Dispatcher, commit of ends takes 8 s, leases do not expire") {
   m_world.Submit("short", {Step(4)});
   m_world.Advance(Millis(300));
   CHECK(m_world.starts() == 8);
@@ -74,8 +77,8 @@
 }
 
 TEST_CASE_FIXTURE(LeaseFixture,
-                  "Dispatcher, leaders lead for less than a look, leases go "
-                  "on") {
+                  "Dispatcher, terms shorter than a hold call, leases do "
+                  "not expire") {
   for (int change = 0; change < 15; ++change) {
     m_world.Elect(Millis(100));
     m_world.Advance(Millis(1'000));
@@ -86,7 +89,7 @@
 
 TEST_CASE_FIXTURE(LeaseFixture,
                   "Dispatcher, other task lost while a wave's stop waits for a "
-                  "quorum's word, stop does not go out") {
+                  "quorum, stop is not sent") {
   m_world.SlowWords(Millis(5'400));
   m_world.Advance(Millis(800));
   m_world.OpenWave({"host-w0"});
--- a/packages/dispatch/tests/sight_test.cc
+++ b/packages/dispatch/tests/sight_test.cc
@@ -8,7 +8,7 @@
 namespace {
 
 struct SightFixture {
-  /// Of all control hosts together: those that do not lead see nothing.
+  /// Sum over all control hosts; those that do not lead report zero.
   uint64_t Workers(const std::string& state) const {
     uint64_t sum = 0;
     for (const DispatchSight& sight : world.sights()) {
@@ -54,14 +54,15 @@
   World world{7};
 };
 
-TEST_CASE_FIXTURE(SightFixture, "Sight, workers at rest, are usable") {
+TEST_CASE_FIXTURE(SightFixture, "Sight, idle workers, counted as usable") {
   world.AddWorkers(3);
   world.Advance(Millis(3'000));
   CHECK(Workers("usable") == 3);
   CHECK(Sum(&DispatchSight::open_jobs) == 0);
 }
 
-TEST_CASE_FIXTURE(SightFixture, "Sight, no worker, a job waits for one") {
+TEST_CASE_FIXTURE(SightFixture,
+                  "Sight, no worker, job waits with reason no-worker") {
   world.Submit("a", {LongStep(2)});
   world.Advance(Millis(4'000));
   CHECK(Sum(&DispatchSight::open_jobs) == 1);
@@ -69,7 +70,8 @@
   CHECK(Waits("no-worker") == 1);
 }
 
-TEST_CASE_FIXTURE(SightFixture, "Sight, another leads, the old one sees none") {
+TEST_CASE_FIXTURE(SightFixture,
+                  "Sight, leader changes, old leader reports zero") {
   world.AddWorkers(3);
   world.Submit("a", {LongStep(1)});
   world.Advance(Millis(3'000));
