--- a/packages/dispatch/src/leadership.cc
+++ b/packages/dispatch/src/leadership.cc
@@ -185,10 +185,10 @@
     return;
   }
   m_is_plan_due = true;
-  const auto since = std::chrono::floor<Millis>(Now() - m_last_plan);
+  const auto elapsed = std::chrono::floor<Millis>(Now() - m_last_plan);
   const Millis pause =
       std::clamp(kPlanPauseFactor * m_plan_time, kMinPlanPause, kMaxPlanPause);
-  const Millis delay = std::max(kPlanDelay, pause - since);
+  const Millis delay = std::max(kPlanDelay, pause - elapsed);
   m_init.timers->SubscribeOnce(delay, [weak = weak_from_this()](SteadyTime) {
     if (const auto self = weak.lock()) {
       self->m_is_plan_due = false;
@@ -300,9 +300,9 @@
   return m_last_tick != SteadyTime() && Now() - m_last_tick > kMaxThreadPause;
 }
 
-// Reports from before the pause are as old as reports to another leader would
-// be. Those that came during the pause are not read yet, or their senders gave
-// up waiting.
+// Reports from before the pause may be outdated, like those to an earlier
+// leader. Those that came during the pause are not read yet, or their senders
+// gave up waiting.
 void Leadership::DiscardReports() {
   ++m_long_pauses;
   m_rooms_since = Now();
@@ -350,13 +350,13 @@
   if (are_changes_known) {
     return;
   }
-  std::vector<std::string> gone;
+  std::vector<std::string> removed;
   for (const auto& [id, link] : m_links) {
     if (ledger.FindWorker(id) == nullptr) {
-      gone.push_back(id);
+      removed.push_back(id);
     }
   }
-  for (const std::string& id : gone) {
+  for (const std::string& id : removed) {
     SyncWorker(ledger, id);
   }
   for (const auto& [id, worker] : ledger.workers()) {
@@ -486,10 +486,10 @@
   const SteadyTime now = Now();
   for (auto& [id, link] : m_links) {
     const Worker* worker = ledger.FindWorker(id);
-    const SteadyTime heard =
+    const SteadyTime last_heard =
         std::max({link.last_contact, link.last_announced, m_begun_at});
     if (worker != nullptr && worker->active.empty() &&
-        !link.is_gone_under_way && now - heard > kSilenceTimeout) {
+        !link.is_gone_under_way && now - last_heard > kSilenceTimeout) {
       EndWorker(ledger, *worker, "silent", records);
     }
   }
@@ -516,8 +516,9 @@
                     std::chrono::floor<Millis>(now - seen->second)));
       m_seen_at.erase(seen);
     }
-    const SteadyTime over = m_job_over_at.try_emplace(id, now).first->second;
-    if (now - over > m_init.bounds.job_memory) {
+    const SteadyTime over_since =
+        m_job_over_at.try_emplace(id, now).first->second;
+    if (now - over_since > m_init.bounds.job_memory) {
       forgotten.ids.push_back(id);
       m_job_over_at.erase(id);
     }
--- a/packages/dispatch/src/leadership_p.h
+++ b/packages/dispatch/src/leadership_p.h
@@ -128,6 +128,9 @@
 
 /// State of a worker's current incarnation that this leader holds in addition
 /// to the ledger.
+///
+/// @remarks A hold call (WorkerPort::Hold) is a long poll of the worker: it can
+///   extend the lease, and it returns the lists of running and ended runs.
 struct WorkerLink {
   WorkerLink(Millis longest_lease, SteadyTime now)
       : clock(longest_lease, now) {}
--- a/packages/dispatch/src/pacing_p.h
+++ b/packages/dispatch/src/pacing_p.h
@@ -11,15 +11,15 @@
 /// use beside tasks that serve requests.
 ///
 /// @remarks Pure; not thread-safe. A feedback control, since interference
-/// between
-///   tasks changes within seconds: the speed is halved when a tail latency
-///   comes near its target, and raised in small steps while it is well below.
+///   between tasks changes within seconds: the speed is halved when a tail
+///   latency comes near its target, and raised in small steps while it is well
+///   below.
 class Pacer {
  public:
   /// @param worst_tail_share The highest ratio of a tail latency to its target.
   void Observe(double worst_tail_share, SteadyTime now);
 
-  /// Allowed share of full speed; 0 means paused.
+  /// Allowed percentage of full speed; 0 means paused.
   uint32_t percent() const { return m_percent; }
 
   /// The percentage last sent, by task and run. New tasks work at 100.
--- a/packages/dispatch/src/reports.cc
+++ b/packages/dispatch/src/reports.cc
@@ -13,7 +13,8 @@
 
 namespace {
 
-// Shorter conditions show in the log lines of their tasks.
+// Time between two reports. Conditions that last for less show in the log lines
+// of their tasks.
 constexpr Millis kStatusLinesPeriod{1'000};
 // A job is reported if it has nothing at work for longer. That is about twice
 // the time of a start while the leader has enough processor time.
@@ -37,8 +38,8 @@
 template <typename Kind>
 std::vector<NamedCount> ZeroCounts(const char* (*name)(Kind)) {
   std::vector<NamedCount> counts;
-  for (size_t each = 0; each < static_cast<size_t>(Kind::kCount); ++each) {
-    counts.push_back({name(static_cast<Kind>(each))});
+  for (size_t index = 0; index < static_cast<size_t>(Kind::kCount); ++index) {
+    counts.push_back({name(static_cast<Kind>(index))});
   }
   return counts;
 }
@@ -104,10 +105,10 @@
   for (const auto& [service, counts] : services) {
     DecisionLine line("dispatch", "workers");
     line.With("service", service);
-    for (size_t each = 0; each < counts.size(); ++each) {
-      if (counts[each] > 0) {
-        line.With(EligibilityName(static_cast<Eligibility>(each)),
-                  counts[each]);
+    for (size_t index = 0; index < counts.size(); ++index) {
+      if (counts[index] > 0) {
+        line.With(EligibilityName(static_cast<Eligibility>(index)),
+                  counts[index]);
       }
     }
     DecisionLog::Get().Write(line);
@@ -127,8 +128,8 @@
   std::partial_sort(busy.begin(),
                     busy.begin() + static_cast<ptrdiff_t>(reported_count),
                     busy.end(), std::greater<>());
-  for (size_t each = 0; each < reported_count; ++each) {
-    const auto& [millicores, name] = busy[each];
+  for (size_t index = 0; index < reported_count; ++index) {
+    const auto& [millicores, name] = busy[index];
     const scheduling::OrganisationSpec* spec = ledger.keys().Find(name);
     DecisionLine line("dispatch", "organisation");
     line.With("organisation", name).With("millicores", millicores);
@@ -160,8 +161,8 @@
   std::partial_sort(waiting.begin(),
                     waiting.begin() + static_cast<ptrdiff_t>(reported_count),
                     waiting.end());
-  for (size_t each = 0; each < reported_count; ++each) {
-    const Job& job = *waiting[each].second;
+  for (size_t index = 0; index < reported_count; ++index) {
+    const Job& job = *waiting[index].second;
     const auto outlook = m_planner.Explain(
         {ledger, now, m_init.wall_now(),
          [&](const Worker& worker) { return AssessWorker(ledger, worker); },
@@ -178,7 +179,7 @@
             .With("step", outlook->step)
             .With("tasks", outlook->tasks)
             .With("age_ms",
-                  std::chrono::floor<Millis>(now - waiting[each].first))
+                  std::chrono::floor<Millis>(now - waiting[index].first))
             .With("why", scheduling::StartObstacleName(outlook->obstacle))
             .With("workers", outlook->workers)
             .With("with_room", outlook->with_room)
--- a/packages/dispatch/tests/incidents/crash_loop_test.cc
+++ b/packages/dispatch/tests/incidents/crash_loop_test.cc
@@ -236,8 +236,8 @@
   }
 }
 
-// Guards against losing most of a pool to many tasks at once that each crash
-// one worker after another during a load peak.
+// Guards against losing the workers of a pool to many tasks that each crash one
+// worker after another, all during one load peak.
 TEST_CASE("Dispatcher, many tasks crash their workers, other jobs succeed") {
   World world(7);
   for (int worker = 0; worker < 24; ++worker) {
