--- a/packages/scheduling/include/laurelhall/scheduling/planner.h
+++ b/packages/scheduling/include/laurelhall/scheduling/planner.h
@@ -14,140 +14,152 @@
 
 namespace laurelhall::scheduling {
 
-/// What the leader sees of a worker beyond what is committed.
+/// The leader's own view of a worker, which is not part of the committed
+/// ledger.
 struct WorkerOutlook {
-  bool is_usable = false;    ///< Reached lately, stays, and may be given work.
-  bool is_doubtful = false;  ///< Lately failed what others do well.
-  bool is_due_down = false;  ///< Its host is to be taken down before long.
-  /// A task that may crash it has just been started there: nothing is put
-  /// beside it.
+  /// Was reached lately, is not leaving, and may be given work.
+  bool is_usable = false;
+  /// Lately failed tasks of a kind that succeeds on other workers.
+  bool is_unreliable = false;
+  /// Its host is to be taken down before long.
+  bool is_shutdown_due = false;
+  /// A task that may crash the worker has just been started there. No other
+  /// task is placed beside it.
   bool is_quarantined = false;
-  bool is_settled = false;  ///< All that runs there was seen at work.
+  /// Every run that is active there has been seen at work.
+  bool is_settled = false;
 };
 
-/// What a plan is made from.
+/// What a plan is computed from.
 struct PlanInput {
   const Ledger& ledger;
   SteadyTime now{};
-  WallTime wall{};
-  /// Asked only for workers of services that have something to start.
-  std::function<WorkerOutlook(const Worker&)> outlook_of;
-  /// When the leader first saw a job; its time counts from there.
-  const std::unordered_map<std::string, SteadyTime>& seen_at;
+  WallTime wall_now{};
+  /// Called only for workers of services that have a task to start.
+  std::function<WorkerOutlook(const Worker&)> status_of;
+  /// When the leader first saw each job, by job. Deadlines count from there.
+  const std::unordered_map<std::string, SteadyTime>& first_seen_at;
 };
 
-/// What an occurrence still asks for that does not run yet, short work alone.
-struct WaitingWork {
-  double core_millis = 0;
-  Millis left{0};            ///< Until it should be done.
-  bool is_hopeless = false;  ///< Too late to be of use to its caller.
+/// The work of a job that is not running yet, without persistent tasks.
+struct PendingWork {
+  double core_millis = 0;  ///< In core-milliseconds.
+  Millis left{0};          ///< Time until the job should be done.
+  /// The job can no longer be done in time to be of use to its caller.
+  bool is_hopeless = false;
 };
 
-/// Why a step that could go on has no task started by the next plan.
+/// Why the next plan would start no task of a step that is ready to go on.
 enum class StartObstacle : uint8_t {
-  kNone,            ///< A worker would take it: it has only to be planned.
-  kDeferred,        ///< Its last start was turned down; waits a while.
-  kBeingCommitted,  ///< Planned already.
+  kNone,            ///< Nothing: the next plan can start it.
+  kDeferred,        ///< The last start was refused; a retry delay is running.
+  kBeingCommitted,  ///< Its start is planned and is being committed.
   kGangIncomplete,  ///< Some members still run or are being committed.
   kNoWorker,        ///< No worker of the service may be given work.
-  kNoRoom,          ///< Those that may have too little room.
-  kNotAllowed,      ///< Those with room are kept from it: label, rack, spread,
-                    ///< or the last attempt.
-  kNoEmptyWorker,   ///< It may crash its worker, and none is without work.
-  kOverCap,         ///< Its organisation has all running that it may have.
+  kNoRoom,          ///< The workers that may be given work lack the capacity.
+  kNotAllowed,      ///< A rule excludes every worker with room: its label, rack
+                    ///< or spread limit, or the caution on a last attempt.
+  kNoEmptyWorker,  ///< The task may crash its worker, so it needs an empty one,
+                   ///< and there is none.
+  kOverCap,        ///< Its organisation already runs all that its cap allows.
   kCount,
 };
 
-/// A short name for a log line.
+/// The value of an obstacle in log lines.
 const char* StartObstacleName(StartObstacle obstacle);
 
-/// What stands between a step that is open and its next start.
+/// What keeps an open step from starting its next task.
 struct StartOutlook {
   uint32_t occurrence = 0;
   uint32_t step = 0;
-  uint32_t tasks = 0;  ///< Neither done nor running.
+  uint32_t tasks = 0;  ///< Tasks that are neither done nor running.
   StartObstacle obstacle = StartObstacle::kNone;
-  uint32_t workers = 0;    ///< Of the service, that may be given work.
-  uint32_t with_room = 0;  ///< Of these.
+  uint32_t workers = 0;    ///< Workers of the service that may be given work.
+  uint32_t with_room = 0;  ///< Those of them with room for a task of the step.
 };
 
-/// What a plan had to look through.
+/// How much a plan examined.
 struct PlanCost {
-  uint64_t steps = 0;   ///< With tasks that could start.
-  uint64_t places = 0;  ///< Workers that were weighed, once for each task.
+  uint64_t steps = 0;   ///< Steps with tasks that could start.
+  uint64_t places = 0;  ///< Workers compared, counted once for each task.
 };
 
-/// Decides which tasks start where.
+/// Decides which tasks start on which workers.
 ///
-/// @remarks Pure but for what it learns; not thread-safe. Remembers what it
-///   planned until it is told what came of it, so that nothing is planned
-///   twice while it is being committed.
+/// @remarks Has no side effects beyond its own state; not thread-safe. Keeps a
+///   reservation for each planned start until Settled() is called for it, so
+///   that no task is planned twice while its start is being committed.
 class Planner {
  public:
   explicit Planner(const MechanismSet& mechanisms = {})
       : m_mechanisms(mechanisms) {}
 
-  /// The starts to commit now, in order. Reserves them.
+  /// Returns the starts to commit now, in order, and reserves their room.
   std::vector<RunStarted> Plan(const PlanInput& input);
 
-  /// Of the last plan.
+  /// The cost of the last plan.
   const PlanCost& cost() const { return m_cost; }
 
-  /// A planned start is applied, or will never be.
+  /// Releases the reservation of a planned start, once the start is applied or
+  /// will never be.
   void Settled(const RunStarted& start);
 
-  /// Whether a start on a worker is planned and not settled yet: a commit takes
+  /// Whether a start on a worker is planned and not settled yet. A commit takes
   /// longer while the leader is short of processor time.
   bool HasPlanned(const std::string& worker) const;
 
-  /// What a job still asks for; see WaitingWork.
-  WaitingWork Waiting(const Ledger& ledger,
+  /// The work of a job that is not running yet, and the time left for it.
+  PendingWork Waiting(const Ledger& ledger,
                       const Job& job,
-                      SteadyTime seen_at,
+                      SteadyTime first_seen_at,
                       SteadyTime now) const;
 
-  /// How long a task of a job's step is expected to take.
+  /// The expected run time of a task of a job's step: the estimate, corrected
+  /// by what was learned of the queue.
   Millis RunTimeOf(const Job& job, uint32_t step) const;
 
-  /// All the work of a job in core-milliseconds, persistent tasks left out.
+  /// The expected work of a whole job in core-milliseconds, without persistent
+  /// tasks.
   double WorkOf(const Job& job) const;
 
-  /// A task of a queue took this long from start to end.
+  /// Learns from a task of a queue how long it took compared with its estimate.
   void Learn(const std::string& queue, Millis estimate, Millis taken);
 
-  /// Why the first open step of a job with tasks left to start does not go on;
-  /// nothing when there is none. For reports: walks all workers.
+  /// Tells why the first open step of a job that has tasks left to start does
+  /// not start them; nothing when there is no such step. Meant for reports:
+  /// visits all workers.
   std::optional<StartOutlook> Explain(const PlanInput& input,
                                       const Job& job) const;
 
-  /// Plans no start of a job before a time: its last one was turned down.
+  /// Plans no start of a job before `until`, because a worker refused its last
+  /// one.
   void Defer(const std::string& job, SteadyTime until);
 
  private:
   struct Candidate;
   class Placement;
 
-  std::vector<Candidate> Gather(const PlanInput& input) const;
-  void GatherStep(const PlanInput& input,
-                  const Job& job,
-                  uint32_t occurrence,
-                  uint32_t step,
-                  std::vector<Candidate>& out) const;
-  void PutLongWaitingFirst(SteadyTime now,
-                           std::vector<Candidate>& candidates) const;
+  std::vector<Candidate> CollectCandidates(const PlanInput& input) const;
+  void AddCandidate(const PlanInput& input,
+                    const Job& job,
+                    uint32_t occurrence,
+                    uint32_t step,
+                    std::vector<Candidate>& out) const;
+  void PromoteStarvedSuspects(SteadyTime now,
+                              std::vector<Candidate>& candidates) const;
   double RunTimeRatio(const std::string& queue) const;
-  std::vector<uint32_t> FreeTasks(const Candidate& candidate) const;
+  std::vector<uint32_t> StartableTasks(const Candidate& candidate) const;
   SteadyTime DeadlineOf(const QueueSpec* queue,
                         const Job& job,
-                        SteadyTime seen_at) const;
+                        SteadyTime first_seen_at) const;
   bool IsHopeless(const Job& job,
                   uint32_t occurrence,
                   SteadyTime deadline,
                   SteadyTime now) const;
-  StartOutlook OutlookOf(const PlanInput& input,
-                         const Job& job,
-                         uint32_t occurrence,
-                         uint32_t step) const;
+  StartOutlook DiagnoseStep(const PlanInput& input,
+                            const Job& job,
+                            uint32_t occurrence,
+                            uint32_t step) const;
 
   /// The workers of a service; valid until the ledger's workers change.
   const std::vector<const Worker*>& WorkersOf(const Ledger& ledger,
@@ -155,39 +167,42 @@
 
   MechanismSet m_mechanisms;
   PlanCost m_cost;
-  // What m_workers_of was made from.
-  std::pair<const Ledger*, uint64_t> m_index_source{nullptr, 0};
+  /// The ledger and its workers_version() that m_workers_of was built from.
+  std::pair<const Ledger*, uint64_t> m_workers_source{nullptr, 0};
   std::unordered_map<std::string, std::vector<const Worker*>> m_workers_of;
-  std::map<TaskId, std::string> m_reserved;  // The worker it is planned for.
-  /// How many of a job's tasks are in m_reserved.
-  std::unordered_map<std::string, uint32_t> m_reserved_jobs;
+
+  /// The worker of each task whose start is planned and not settled.
+  std::map<TaskId, std::string> m_reserved_worker;
+  /// How many of a job's tasks are in m_reserved_worker.
+  std::unordered_map<std::string, uint32_t> m_reserved_tasks;
   std::unordered_map<std::string, Resources> m_reserved_room;  // By worker.
   /// What a planned start will take.
   struct Reservation {
-    Resources room;  // Of its worker.
+    Resources room;  // On its worker.
     Resources need;  // Of its organisation's cap.
     std::string organisation;
   };
-  std::map<std::pair<TaskId, uint32_t>, Reservation> m_reserved_steps;  // By
-                                                                        // run.
-  std::unordered_map<std::string, Resources>
-      m_reserved_caps;  // By organisation.
-  /// Suspects of which a start is planned and not settled, by worker.
+  std::map<std::pair<TaskId, uint32_t>, Reservation> m_reservations;  // By run.
+  /// What planned starts will take of each organisation's cap.
+  std::unordered_map<std::string, Resources> m_reserved_of_cap;
+  /// Suspects whose start is planned and not settled, by worker.
   std::map<std::string, std::set<TaskId>> m_reserved_suspects;
 
-  /// Workers that take no new task, so that suspects find some empty; by
-  /// service.
-  std::map<std::string, std::set<std::string>> m_clearing;
+  /// Workers that take no tasks but suspects, so that they become empty for
+  /// these; by service.
+  std::map<std::string, std::set<std::string>> m_cordoned;
   // By the last plan.
-  std::map<std::string, std::set<std::string>> m_cleared_before;
-  /// Since when suspects have waited for an empty worker.
-  std::map<TaskId, SteadyTime> m_suspects_waiting;
-  std::map<TaskId, SteadyTime> m_suspects_waited;  // As of the last plan.
-  std::map<std::string, SteadyTime> m_deferred;    // By job.
-  std::map<std::string, double> m_ratio;  // Taken over estimated, by queue.
+  std::map<std::string, std::set<std::string>> m_previously_cordoned;
+  /// Since when each suspect has waited for an empty worker.
+  std::map<TaskId, SteadyTime> m_suspect_waits;
+  std::map<TaskId, SteadyTime> m_previous_suspect_waits;  // At the last plan.
+  std::map<std::string, SteadyTime> m_deferred;           // Until when, by job.
+  /// Actual over estimated run time, by queue.
+  std::map<std::string, double> m_run_time_ratios;
 };
 
-/// The longest chain of estimated work of one occurrence that is not done.
-Millis RemainingChain(const Job& job, uint32_t occurrence);
+/// The estimated run time along the longest chain of dependent steps of an
+/// occurrence, in which steps that are done count nothing.
+Millis RemainingCriticalPath(const Job& job, uint32_t occurrence);
 
 }  // namespace laurelhall::scheduling
--- a/packages/scheduling/src/planner.cc
+++ b/packages/scheduling/src/planner.cc
@@ -11,44 +11,51 @@
 
 namespace {
 
-// How fast a queue's run times are learned: a fifth of each task's surprise,
-// so that a burst of some ten tasks settles it and one odd task does not.
-constexpr double kLearningRate = 0.05;
-constexpr double kSmallestRatio = 0.2;
-constexpr double kLargestRatio = 5;
-// Work that may miss its time is hopeless only when it would miss it by a
-// clear margin: estimates are off by about half.
-constexpr double kHopelessShare = 1.0;
-// How often the estimated run time a task waits for the rack with its data;
-// elsewhere it takes three times as long.
-constexpr int kDataWaitRuns = 2;
-
-// Without memory of their own: a plan asks for the chain of all that waits.
-constexpr size_t kUsualSteps = 8;
-
-// A job is lost to its caller after so many times its objective.
-constexpr int kLateLimit = 3;
-// So long before that it goes first.
-constexpr Millis kLastCall{700};
-
-// A suspect that found no empty worker for so long starts beside others, unless
-// another one is being tried: that tells before long which of them is sound.
-constexpr Millis kLongestClearing{2'000};
-// Each worker that is cleared serves so many suspects in their time; a third of
-// a service's workers at the most.
-constexpr size_t kSuspectsPerCleared = 4;
-constexpr size_t kWorkersPerCleared = 3;
-// One that has waited for so long goes before what is on time, so that the
-// first worker that is free is cleared for it.
-constexpr Millis kLongWait{4'000};
-
-// Weights of what a place costs, in shares of an idle worker.
-constexpr double kFarFromData = 100;
-constexpr double kFailedHere = 50;
-constexpr double kDoubtful = 20;
-constexpr double kDueDown = 10;
-constexpr double kSameStepHere = 0.02;
-constexpr double kGathers = 2;
+// Weight of one task in the moving average of its queue's run time ratio: low
+// enough that one odd task changes little, while a burst of some ten tasks
+// shows.
+constexpr double kRatioLearningRate = 0.05;
+constexpr double kMinRunTimeRatio = 0.2;
+constexpr double kMaxRunTimeRatio = 5;
+// Work counts as hopeless if its expected remaining time, multiplied by this
+// factor, does not fit before its deadline. Estimates are off by about half: a
+// smaller factor would require a clearer miss.
+constexpr double kRemainingTimeFactor = 1.0;
+// A task waits this many times its estimated run time for a worker on the rack
+// of its data, as on another rack it takes three times as long. A gang waits as
+// long for one rack that takes all of its members.
+constexpr int kDataRackWaitFactor = 2;
+
+// Steps of a job for which the critical path is computed without an
+// allocation, because each plan computes it for every waiting step.
+constexpr size_t kInlineSteps = 8;
+
+// A job that takes longer than its latency objective by this factor is of no
+// use to its caller.
+constexpr int kUselessAfterFactor = 3;
+// When less time than this is left to begin a late job before it is of no use,
+// the job goes ahead with the work that is on time.
+constexpr Millis kLastCallMargin{700};
+
+// A suspect (a task that may crash its worker) that has found no empty worker
+// for this long starts beside other tasks, unless another suspect's trial is
+// running: its outcome soon tells whether that one is harmless.
+constexpr Millis kMaxWaitForEmptyWorker{2'000};
+// One worker is cordoned, and one more for every four waiting suspects, up to a
+// third of a service's workers.
+constexpr size_t kSuspectsPerCordonedWorker = 4;
+constexpr size_t kWorkersPerCordonedWorker = 3;
+// A suspect that has waited for this long goes before the work that is on time,
+// so that the first worker to become free is cordoned for it.
+constexpr Millis kStarvedSuspectWait{4'000};
+
+// Penalties in the cost of a place, where 1 is the whole capacity of a worker.
+constexpr double kOtherRackCost = 100;
+constexpr double kFailedHereCost = 50;
+constexpr double kUnreliableCost = 20;
+constexpr double kShutdownDueCost = 10;
+constexpr double kSameStepCost = 0.02;
+constexpr double kPersistentTasksCost = 2;
 
 constexpr const char* kObstacleNames[] = {
     "none",    "deferred",    "being-committed", "gang-incomplete", "no-worker",
@@ -56,18 +63,18 @@
 static_assert(std::size(kObstacleNames) ==
               static_cast<size_t>(StartObstacle::kCount));
 
-// In which order kinds of work are served.
+// Classes of work, the first to be served at the top.
 enum class Urgency {
   kPersistent,
-  kOverdue,  // Suspects that have waited for long.
+  kStarvedSuspect,  // See kStarvedSuspectWait.
   kOnTime,
-  kLate,
-  kExcess,  // Behind all that organisations are promised.
+  kLate,    // Misses its deadline, but may still be of use to its caller.
+  kExcess,  // Beyond what its organisation is promised.
   kHopeless,
   kCount
 };
 
-bool HasLabel(const WorkerInfo& worker, const std::string& label) {
+bool MatchesLabel(const WorkerInfo& worker, const std::string& label) {
   return label.empty() || std::find(worker.labels.begin(), worker.labels.end(),
                                     label) != worker.labels.end();
 }
@@ -76,14 +83,14 @@
   return std::chrono::duration_cast<Millis>(time * factor);
 }
 
-// Of one task, with its processors in thousandths.
-double CoreMillis(const StepSpec& step) {
+// The estimated work of one task of a step.
+double CoreMilliseconds(const StepSpec& step) {
   return static_cast<double>(RoomOf(step).millicores) / 1000 *
          static_cast<double>(step.estimate.count());
 }
 
-// Visits the steps that are due, not done, and wait for no other, in order and
-// until a visit returns false.
+// Visits, in order, the steps that are due, not done, and wait for no other
+// step, until a visit returns false.
 template <typename Visit>
 void VisitOpenSteps(const Job& job, WallTime wall, Visit visit) {
   for (uint32_t occurrence = 0; occurrence < job.spec.occurrences;
@@ -110,8 +117,8 @@
 
 }  // namespace
 
-Millis RemainingChain(const Job& job, uint32_t occurrence) {
-  boost::container::small_vector<Millis, kUsualSteps> chain(
+Millis RemainingCriticalPath(const Job& job, uint32_t occurrence) {
+  boost::container::small_vector<Millis, kInlineSteps> chain(
       job.spec.steps.size());
   Millis longest{0};
   for (size_t step = 0; step < job.spec.steps.size(); ++step) {
@@ -128,25 +135,25 @@
   return longest;
 }
 
-/// A step of which tasks could start now.
+/// A step with tasks that could start now.
 struct Planner::Candidate {
   const Job* job = nullptr;
-  const QueueSpec* queue = nullptr;  // None: not in the configuration.
+  const QueueSpec* queue = nullptr;  // Null if not in the configuration.
   uint32_t occurrence = 0;
   uint32_t step = 0;
-  bool has_reserved = false;  // Some task of its job is being committed.
+  bool has_reservations = false;  // Some start of its job is being committed.
   Urgency urgency = Urgency::kOnTime;
   int32_t priority = 0;
-  bool is_begun = false;
+  bool is_running = false;
   SteadyTime deadline{};
-  SteadyTime waits_since{};
+  SteadyTime waiting_since{};
 
   auto Key() const {
-    return std::tuple(urgency, !is_begun, deadline, priority);
+    return std::tuple(urgency, !is_running, deadline, priority);
   }
 };
 
-/// Finds workers for candidates of one plan.
+/// Assigns the tasks of candidates to workers within one plan.
 class Planner::Placement {
  public:
   Placement(Planner& planner,
@@ -155,69 +162,72 @@
       : m_planner(planner), m_input(input) {
     for (const Candidate& candidate : candidates) {
       const std::string& service = input.ledger.ServiceOf(*candidate.job);
-      if (!m_places.contains(service)) {
-        m_places[service] = PlacesOf(service);
+      if (!m_places_of.contains(service)) {
+        m_places_of[service] = PlacesOf(service);
       }
     }
   }
 
-  /// Workers that may be given work, and those of them with room for a task.
-  void Count(const Candidate& candidate, StartOutlook& outlook) {
+  /// Counts the workers that may be given work, and those of them with room for
+  /// a task.
+  void Count(const Candidate& candidate, StartOutlook& diagnosis) {
     const Resources room = RoomOf(candidate.job->spec.steps[candidate.step]);
-    const auto places = m_places.find(m_input.ledger.ServiceOf(*candidate.job));
-    if (places == m_places.end()) {
+    const auto places =
+        m_places_of.find(m_input.ledger.ServiceOf(*candidate.job));
+    if (places == m_places_of.end()) {
       return;
     }
-    KeepUsable(places->second);
+    RemoveUnusable(places->second);
     for (const Place& place : places->second) {
-      ++outlook.workers;
-      outlook.with_room += Fits(room, place.room) ? 1 : 0;
+      ++diagnosis.workers;
+      diagnosis.with_room += Fits(room, place.room) ? 1 : 0;
     }
   }
 
-  void Put(const Candidate& candidate, std::vector<RunStarted>& out) {
+  void PlaceStep(const Candidate& candidate, std::vector<RunStarted>& out) {
     const StepSpec& step = candidate.job->spec.steps[candidate.step];
-    auto places = m_places.find(m_input.ledger.ServiceOf(*candidate.job));
-    if (places == m_places.end()) {
+    auto places = m_places_of.find(m_input.ledger.ServiceOf(*candidate.job));
+    if (places == m_places_of.end()) {
       return;
     }
     const Resources need = RoomOf(step);
-    // Workers that are full to others may be held for suspects.
+    // A suspect may get a cordoned worker, which takes no other tasks: that
+    // these found no room tells nothing about it.
     const bool is_full =
-        !candidate.job->has_crashes && IsKnownFull(candidate, need);
+        !candidate.job->has_crashes && IsKnownTooLarge(candidate, need);
     if (is_full || IsOverCap(*candidate.job, step)) {
       return;
     }
     if (step.is_gang) {
-      PutGang(candidate, step, places->second, out);
+      PlaceGang(candidate, step, places->second, out);
       return;
     }
-    for (const uint32_t index : m_planner.FreeTasks(candidate)) {
+    for (const uint32_t index : m_planner.StartableTasks(candidate)) {
       if (IsOverCap(*candidate.job, step)) {
         return;
       }
       Place* place = Find(candidate, step, index, places->second, {});
       if (place == nullptr && IsSuspect(candidate, index)) {
-        continue;  // Its like may find a place beside other tasks.
+        continue;  // Other tasks of the step may not need an empty worker.
       }
       if (place == nullptr && !step.is_filling) {
-        LearnFull(candidate, step, index, need);
-        return;  // Like tasks will find no place either.
+        RememberTooLarge(candidate, step, index, need);
+        return;  // The other tasks of the step would find no place either.
       }
       if (place != nullptr) {
-        Take(candidate, step, index, *place, out);
+        Assign(candidate, step, index, *place, out);
       }
     }
   }
 
-  // Whether the job's organisation has all at work that it may have. A gang
-  // starts as a whole.
+  // Whether one more task would exceed the cap of the job's organisation. For a
+  // gang, all of its tasks count.
   bool IsOverCap(const Job& job, const StepSpec& step) const {
     if (job.organisation.empty()) {
       return false;
     }
-    const auto reserved = m_planner.m_reserved_caps.find(job.organisation);
-    Resources planned = reserved == m_planner.m_reserved_caps.end()
+    const auto reserved = m_planner.m_reserved_of_cap.find(job.organisation);
+    Resources planned = reserved == m_planner.m_reserved_of_cap.end()
                             ? Resources()
                             : reserved->second;
     const uint32_t others = step.is_gang ? step.count - 1 : 0;
@@ -228,13 +238,15 @@
   }
 
  private:
+  // A worker and the room that is left on it within this plan.
   struct Place {
     const Worker* worker = nullptr;
     Resources room;
-    std::optional<WorkerOutlook> outlook;  // Once it was asked for.
-    bool has_persistent = false;           // By this plan.
-    bool has_suspect = false;              // As well.
-    // Of a gang under trial, not reserved yet.
+    std::optional<WorkerOutlook> status;  // Set by StatusOf().
+    bool has_persistent = false;  // This plan puts a persistent task there.
+    bool has_suspect = false;     // This plan puts a suspect there.
+    // Tasks of a gang that is being placed, by step, which are not reserved
+    // yet.
     std::map<std::pair<const Job*, uint64_t>, uint32_t> planned;
   };
 
@@ -248,29 +260,31 @@
     return TaskOf(candidate, index).IsSuspect();
   }
 
-  // Whether a smaller task of this plan found no room in the service, so that
-  // what waits behind costs a comparison, not a walk over all workers.
-  bool IsKnownFull(const Candidate& candidate, const Resources& need) const {
-    const auto full = m_no_room.find(m_input.ledger.ServiceOf(*candidate.job));
-    return full != m_no_room.end() &&
+  // Whether a task of this plan that needs no more found no room in the
+  // service. This spares the steps behind it a search through all workers.
+  bool IsKnownTooLarge(const Candidate& candidate,
+                       const Resources& need) const {
+    const auto full =
+        m_too_large.find(m_input.ledger.ServiceOf(*candidate.job));
+    return full != m_too_large.end() &&
            std::any_of(
                full->second.begin(), full->second.end(),
                [&need](const Resources& least) { return Fits(least, need); });
   }
 
-  // Only of a task that any worker with room may run: else it was not the room
-  // that it lacked.
-  void LearnFull(const Candidate& candidate,
-                 const StepSpec& step,
-                 uint32_t index,
-                 const Resources& need) {
+  // Notes that a task of this size found no room. Only for a task that may run
+  // on any worker with room: another may have lacked something else.
+  void RememberTooLarge(const Candidate& candidate,
+                        const StepSpec& step,
+                        uint32_t index,
+                        const Resources& need) {
     const Task& task = TaskOf(candidate, index);
-    const bool is_free_to_go =
+    const bool is_unrestricted =
         step.required_label.empty() && step.data_rack.empty() &&
         step.spread_limit == 0 && !IsLastAttempt(candidate, task) &&
         !task.IsSuspect();
-    if (is_free_to_go) {
-      m_no_room[m_input.ledger.ServiceOf(*candidate.job)].push_back(need);
+    if (is_unrestricted) {
+      m_too_large[m_input.ledger.ServiceOf(*candidate.job)].push_back(need);
     }
   }
 
@@ -292,46 +306,49 @@
     return places;
   }
 
-  // Asked for only once a place would be taken: most have no room, or a better
-  // one stands before them.
-  const WorkerOutlook& OutlookOf(Place& place) const {
-    if (!place.outlook) {
-      place.outlook = m_input.outlook_of(*place.worker);
+  // Asks for the status only when a place is otherwise the best choice, since
+  // most places have no room or cost more than an earlier one.
+  const WorkerOutlook& StatusOf(Place& place) const {
+    if (!place.status) {
+      place.status = m_input.status_of(*place.worker);
     }
-    return *place.outlook;
+    return *place.status;
   }
 
-  // Where it matters how many there are, or of which racks.
-  void KeepUsable(std::vector<Place>& places) const {
+  // For decisions that depend on how many usable workers there are, or on their
+  // racks.
+  void RemoveUnusable(std::vector<Place>& places) const {
     std::erase_if(places,
-                  [this](Place& place) { return !OutlookOf(place).is_usable; });
+                  [this](Place& place) { return !StatusOf(place).is_usable; });
   }
 
   static uint64_t StepKey(const Candidate& candidate) {
     return (static_cast<uint64_t>(candidate.occurrence) << 32) | candidate.step;
   }
 
-  // All members at once, of one rack where that matters, or none.
-  void PutGang(const Candidate& candidate,
-               const StepSpec& step,
-               std::vector<Place>& places,
-               std::vector<RunStarted>& out) {
-    const std::vector<uint32_t> tasks = m_planner.FreeTasks(candidate);
+  // Places all members of a gang, on one rack if it asks for that, or none.
+  void PlaceGang(const Candidate& candidate,
+                 const StepSpec& step,
+                 std::vector<Place>& places,
+                 std::vector<RunStarted>& out) {
+    const std::vector<uint32_t> tasks = m_planner.StartableTasks(candidate);
     if (tasks.size() < step.count) {
       return;
     }
-    KeepUsable(places);
+    RemoveUnusable(places);
     std::set<std::string> racks{""};
     if (step.is_same_rack) {
       racks.clear();
       for (const Place& place : places) {
         racks.insert(place.worker->info.rack);
       }
-      if (m_input.now - candidate.waits_since > kDataWaitRuns * step.estimate) {
+      if (m_input.now - candidate.waiting_since >
+          kDataRackWaitFactor * step.estimate) {
         racks.insert("");
       }
     }
-    // The empty name, any rack, sorts first; it is the last resort.
+    // The empty name stands for any rack. It sorts first, so that the reverse
+    // order tries it last.
     for (auto rack = racks.rbegin(); rack != racks.rend(); ++rack) {
       std::vector<Place> trial = places;
       std::vector<RunStarted> starts;
@@ -340,7 +357,7 @@
         if (place == nullptr) {
           break;
         }
-        Take(candidate, step, index, *place, starts, false);
+        Assign(candidate, step, index, *place, starts, false);
       }
       if (starts.size() == tasks.size()) {
         places = std::move(trial);
@@ -356,10 +373,13 @@
     }
   }
 
+  /// Counts the tasks of the candidate's step on a worker: active, reserved,
+  /// and of a gang that is being placed.
+  ///
   /// @param first The first task of the candidate's step.
-  uint32_t CountHere(const Candidate& candidate,
-                     const TaskId& first,
-                     const Place& place) const {
+  uint32_t CountTasksOfStep(const Candidate& candidate,
+                            const TaskId& first,
+                            const Place& place) const {
     uint32_t here = 0;
     for (auto task = place.worker->active.lower_bound(first);
          task != place.worker->active.end() && task->job == first.job &&
@@ -367,13 +387,13 @@
          ++task) {
       ++here;
     }
-    for (auto planned = m_planner.m_reserved.lower_bound(first);
-         planned != m_planner.m_reserved.end() &&
+    for (auto planned = m_planner.m_reserved_worker.lower_bound(first);
+         planned != m_planner.m_reserved_worker.end() &&
          planned->first.job == first.job &&
          planned->first.occurrence == first.occurrence &&
          planned->first.step == first.step;
          ++planned) {
-      // One that is applied meanwhile counts as active already.
+      // A reserved task whose start is applied already was counted as active.
       const bool is_here = planned->second == place.worker->info.id &&
                            !place.worker->active.contains(planned->first);
       here += is_here ? 1 : 0;
@@ -383,131 +403,140 @@
     return here + (planned == place.planned.end() ? 0 : planned->second);
   }
 
-  // Whether one more failure would fail the job: it is not risked on a worker
-  // that may be the cause.
+  // Whether a task has failed before and one more failure would use up its
+  // queue's attempts. It is then kept off workers that may cause the failures.
   static bool IsLastAttempt(const Candidate& candidate, const Task& task) {
     return candidate.queue != nullptr && task.failures > 0 &&
            task.failures + 1 >= candidate.queue->max_attempts;
   }
 
-  // What may be on the worker that a task is put on.
-  enum class Company { kAnyone, kNobody };
+  // Whether a worker may run other tasks beside the one that is placed.
+  enum class Sharing { kAllowed, kForbidden };
 
   Place* Find(const Candidate& candidate,
               const StepSpec& step,
               uint32_t index,
               std::vector<Place>& places,
               const std::string& only_rack) {
-    const auto find = [&](Company company) {
-      return FindAmong(candidate, step, index, places, only_rack, company);
+    const auto find = [&](Sharing sharing) {
+      return FindAmong(candidate, step, index, places, only_rack, sharing);
     };
     if (!IsSuspect(candidate, index)) {
-      return find(Company::kAnyone);
+      return find(Sharing::kAllowed);
     }
-    Place* empty =
-        HasEmpty(candidate, places) ? find(Company::kNobody) : nullptr;
+    Place* empty = HasPlaceForSuspect(candidate, places)
+                       ? find(Sharing::kForbidden)
+                       : nullptr;
     if (empty != nullptr) {
       return empty;
     }
     if (step.is_persistent) {
-      return find(Company::kAnyone);  // Its users are not to wait.
+      return find(Sharing::kAllowed);  // A service must not wait for a worker.
     }
-    const bool has_waited = HasWaitedForEmpty(candidate, step, index, places);
+    const bool has_waited = RecordWaitForEmpty(candidate, step, index, places);
     if (!has_waited || TaskOf(candidate, index).IsIsolated()) {
       return nullptr;
     }
-    return IsAnyTried(places) ? nullptr : find(Company::kAnyone);
+    return IsSuspectUnproven(places) ? nullptr : find(Sharing::kAllowed);
   }
 
-  static bool IsUnplanned(const Place& place) {
-    Resources left = place.worker->info.capacity;
-    Subtract(left, place.worker->used);
-    return place.planned.empty() && place.room == left;
+  static bool HasNoPlannedTask(const Place& place) {
+    Resources unused = place.worker->info.capacity;
+    Subtract(unused, place.worker->used);
+    return place.planned.empty() && place.room == unused;
   }
 
-  // Whether a suspect would be the only new run there, and what it could take
-  // down is as little as may be: other suspects that have been tried, and what
-  // lasts. One that is isolated has no such suspects beside it.
-  bool IsForTrial(Place& place, bool is_isolated) const {
+  // Whether a worker is as empty as a suspect needs it, so that a crash takes
+  // down as little as possible: it runs only persistent tasks and earlier
+  // suspects, all of them seen at work, and no other start is planned there.
+  // An isolated suspect accepts no other suspects beside it either.
+  bool IsFreeForSuspect(Place& place, bool is_isolated) const {
     const Worker& worker = *place.worker;
     const size_t tried = is_isolated ? 0 : worker.suspects.size();
     const bool is_apart =
         worker.active.size() <= worker.persistent_runs + tried;
-    return is_apart && IsUnplanned(place) && !HasNewSuspect(place) &&
-           (worker.active.empty() || OutlookOf(place).is_settled);
+    return is_apart && HasNoPlannedTask(place) && !HasNewSuspect(place) &&
+           (worker.active.empty() || StatusOf(place).is_settled);
   }
 
-  // Whether some suspect is at work that has not been seen to be sound.
-  bool IsAnyTried(std::vector<Place>& places) const {
+  // Whether some suspect has been started, or is planned, that may still crash
+  // its worker.
+  bool IsSuspectUnproven(std::vector<Place>& places) const {
     return std::any_of(places.begin(), places.end(), [this](Place& place) {
       return HasNewSuspect(place) || (!place.worker->suspects.empty() &&
-                                      OutlookOf(place).is_quarantined);
+                                      StatusOf(place).is_quarantined);
     });
   }
 
-  // No place becomes empty within a plan, so that many suspects cost one walk
-  // once there is none.
-  bool HasEmpty(const Candidate& candidate, std::vector<Place>& places) {
+  // Whether some worker is free for a suspect. None becomes free within a plan,
+  // so that a negative result is kept for all further suspects of the service.
+  bool HasPlaceForSuspect(const Candidate& candidate,
+                          std::vector<Place>& places) {
     const std::string& service = m_input.ledger.ServiceOf(*candidate.job);
-    if (m_without_empty.contains(service)) {
+    if (m_without_empty_place.contains(service)) {
       return false;
     }
-    const bool has_empty =
-        std::any_of(places.begin(), places.end(),
-                    [this](Place& place) { return IsForTrial(place, false); });
+    const bool has_empty = std::any_of(
+        places.begin(), places.end(),
+        [this](Place& place) { return IsFreeForSuspect(place, false); });
     if (!has_empty) {
-      m_without_empty.insert(service);
+      m_without_empty_place.insert(service);
     }
     return has_empty;
   }
 
-  // Whether a suspect goes beside other tasks: it has waited for so long, or no
-  // worker of the service will be empty.
-  bool HasWaitedForEmpty(const Candidate& candidate,
-                         const StepSpec& step,
-                         uint32_t index,
-                         std::vector<Place>& places) {
+  // Records that a suspect waits for an empty worker. Returns whether it need
+  // wait no longer: it has waited for long enough, or no worker can become
+  // empty.
+  bool RecordWaitForEmpty(const Candidate& candidate,
+                          const StepSpec& step,
+                          uint32_t index,
+                          std::vector<Place>& places) {
     const TaskId id{candidate.job->id, candidate.occurrence, candidate.step,
                     index};
-    const auto before = m_planner.m_suspects_waited.find(id);
-    const SteadyTime since = before == m_planner.m_suspects_waited.end()
+    const auto before = m_planner.m_previous_suspect_waits.find(id);
+    const SteadyTime since = before == m_planner.m_previous_suspect_waits.end()
                                  ? m_input.now
                                  : before->second;
-    m_planner.m_suspects_waiting[id] = since;
-    return !Clears(candidate, step, places) ||
-           m_input.now - since > kLongestClearing;
+    m_planner.m_suspect_waits[id] = since;
+    return !CordonWorkers(candidate, step, places) ||
+           m_input.now - since > kMaxWaitForEmptyWorker;
   }
 
-  // Holds workers of the service free of new tasks, those with the fewest, and
-  // more the more suspects wait; false when none can become empty.
-  bool Clears(const Candidate& candidate,
-              const StepSpec& step,
-              std::vector<Place>& places) {
+  // Cordons one more worker of the service if the number of waiting suspects
+  // calls for it: one that was cordoned by the last plan if possible, else the
+  // one with the fewest persistent runs, then the fewest runs. Returns false if
+  // none is cordoned and none can be.
+  bool CordonWorkers(const Candidate& candidate,
+                     const StepSpec& step,
+                     std::vector<Place>& places) {
     const std::string& service = m_input.ledger.ServiceOf(*candidate.job);
-    std::set<std::string>& clearing = m_planner.m_clearing[service];
-    const size_t waiting = ++m_waiting[service];
-    const size_t most = std::max<size_t>(1, places.size() / kWorkersPerCleared);
-    const size_t wanted = std::min(most, 1 + waiting / kSuspectsPerCleared);
-    if (clearing.size() >= wanted) {
+    std::set<std::string>& cordoned = m_planner.m_cordoned[service];
+    const size_t waiting = ++m_waiting_suspects[service];
+    const size_t most =
+        std::max<size_t>(1, places.size() / kWorkersPerCordonedWorker);
+    const size_t wanted =
+        std::min(most, 1 + waiting / kSuspectsPerCordonedWorker);
+    if (cordoned.size() >= wanted) {
       return true;
     }
     const std::set<std::string>& before =
-        ClearedFor(m_planner.m_cleared_before, service);
-    const auto is_being_cleared = [&before](const Place& place) {
+        CordonedFor(m_planner.m_previously_cordoned, service);
+    const auto was_cordoned = [&before](const Place& place) {
       return before.contains(place.worker->info.id);
     };
     const Place* best = nullptr;
     for (Place& place : places) {
-      // One that tries a suspect stays cleared for the next.
-      const bool is_free = is_being_cleared(place) ||
+      // A cordoned worker that runs a suspect stays cordoned for the next one.
+      const bool is_free = was_cordoned(place) ||
                            (!place.has_persistent && !HasNewSuspect(place) &&
-                            !OutlookOf(place).is_quarantined);
+                            !StatusOf(place).is_quarantined);
       const bool may_empty = is_free &&
-                             !clearing.contains(place.worker->info.id) &&
+                             !cordoned.contains(place.worker->info.id) &&
                              Fits(RoomOf(step), place.worker->info.capacity) &&
-                             OutlookOf(place).is_usable;
+                             StatusOf(place).is_usable;
       const auto cost = [&](const Place& of) {
-        return std::tuple(!is_being_cleared(of), of.worker->persistent_runs,
+        return std::tuple(!was_cordoned(of), of.worker->persistent_runs,
                           of.worker->active.size());
       };
       const bool is_better =
@@ -515,25 +544,25 @@
       best = is_better ? &place : best;
     }
     if (best != nullptr) {
-      clearing.insert(best->worker->info.id);
+      cordoned.insert(best->worker->info.id);
     }
-    return !clearing.empty();
+    return !cordoned.empty();
   }
 
-  // Whether a suspect's start there is planned and not settled.
+  // Whether a suspect's start on a worker is planned and not settled.
   bool HasNewSuspect(const Place& place) const {
     return place.has_suspect ||
            (!m_planner.m_reserved_suspects.empty() &&
             m_planner.m_reserved_suspects.contains(place.worker->info.id));
   }
 
-  // The workers that are cleared for the suspects of a service, of one plan.
-  static const std::set<std::string>& ClearedFor(
-      const std::map<std::string, std::set<std::string>>& clearing,
+  // The workers of a service that one plan cordoned.
+  static const std::set<std::string>& CordonedFor(
+      const std::map<std::string, std::set<std::string>>& cordoned,
       const std::string& service) {
     static const std::set<std::string> none;
-    const auto found = clearing.find(service);
-    return found == clearing.end() ? none : found->second;
+    const auto found = cordoned.find(service);
+    return found == cordoned.end() ? none : found->second;
   }
 
   Place* FindAmong(const Candidate& candidate,
@@ -541,30 +570,31 @@
                    uint32_t index,
                    std::vector<Place>& places,
                    const std::string& only_rack,
-                   Company company) const {
+                   Sharing sharing) const {
     const TaskId id{candidate.job->id, candidate.occurrence, candidate.step,
                     index};
     const Task& task = TaskOf(candidate, index);
     const std::string& service = m_input.ledger.ServiceOf(*candidate.job);
-    // Looked up once, not for each place of the plan.
-    const bool avoids_cleared = !task.IsSuspect();
-    const auto& cleared = ClearedFor(m_planner.m_clearing, service);
-    const auto& before = ClearedFor(m_planner.m_cleared_before, service);
+    // Looked up once rather than for each place.
+    const bool avoids_cordoned = !task.IsSuspect();
+    const auto& cordoned = CordonedFor(m_planner.m_cordoned, service);
+    const auto& before = CordonedFor(m_planner.m_previously_cordoned, service);
     const auto is_held = [&](const Place& place) {
       const std::string& id = place.worker->info.id;
-      const bool is_cleared = cleared.contains(id) || before.contains(id);
-      return (avoids_cleared && is_cleared) || HasNewSuspect(place);
+      const bool is_cordoned = cordoned.contains(id) || before.contains(id);
+      return (avoids_cordoned && is_cordoned) || HasNewSuspect(place);
     };
-    const bool is_alone = company == Company::kNobody;
+    const bool is_alone = sharing == Sharing::kForbidden;
     const bool is_isolated = task.IsIsolated() && !step.is_persistent;
     const bool waits_for_data =
         m_planner.m_mechanisms.Has(Mechanism::kDataWait) &&
-        m_input.now - candidate.waits_since < kDataWaitRuns * step.estimate;
+        m_input.now - candidate.waiting_since <
+            kDataRackWaitFactor * step.estimate;
     const bool gathers = m_planner.m_mechanisms.Has(Mechanism::kGathering);
     const Resources room = RoomOf(step);
     const bool is_last_attempt = IsLastAttempt(candidate, task);
     if (is_last_attempt) {
-      KeepUsable(places);
+      RemoveUnusable(places);
     }
     const TaskId first{id.job, id.occurrence, id.step, 0};
     Place* best = nullptr;
@@ -574,41 +604,43 @@
       const WorkerInfo& info = place.worker->info;
       const bool is_far =
           !step.data_rack.empty() && info.rack != step.data_rack;
-      if (!Fits(room, place.room) || !HasLabel(info, step.required_label) ||
+      if (!Fits(room, place.room) || !MatchesLabel(info, step.required_label) ||
           (!only_rack.empty() && info.rack != only_rack) ||
           (is_far && waits_for_data) ||
-          (is_alone ? !IsForTrial(place, is_isolated) : is_held(place))) {
+          (is_alone ? !IsFreeForSuspect(place, is_isolated) : is_held(place))) {
         continue;
       }
-      double cost = is_far ? kFarFromData : 0;
-      cost += task.failed_on == info.id ? kFailedHere : 0;
-      // Tasks gather on few hosts, those with persistent ones first, so that
-      // the others can move as soon as another service needs them.
+      double cost = is_far ? kOtherRackCost : 0;
+      cost += task.failed_on == info.id ? kFailedHereCost : 0;
+      // Tasks are packed onto few hosts, first those with persistent tasks, so
+      // that the others can move as soon as another service needs them.
       const bool has_persistent =
           place.worker->persistent_runs > 0 || place.has_persistent;
-      // What may crash its worker stays away from them.
-      const double gather = is_alone ? kGathers : -kGathers;
+      // A suspect on an empty worker keeps away from persistent tasks instead.
+      const double gather =
+          is_alone ? kPersistentTasksCost : -kPersistentTasksCost;
       cost += gathers && has_persistent ? gather : 0;
       const double used =
           1 - Share(place.room.millicores, info.capacity.millicores);
       cost += step.is_persistent || !gathers ? used : -used;
-      // What follows costs more to find out, and never makes a place better.
+      // The checks below are more expensive and only raise the cost.
       if (cost >= best_cost || place.worker->active.contains(id)) {
         continue;
       }
-      const uint32_t here = CountHere(candidate, first, place);
+      const uint32_t here = CountTasksOfStep(candidate, first, place);
       if (step.spread_limit > 0 && here >= step.spread_limit) {
         continue;
       }
-      const WorkerOutlook& outlook = OutlookOf(place);
+      const WorkerOutlook& status = StatusOf(place);
       const bool is_risk = is_last_attempt && places.size() > 1 &&
-                           (task.failed_on == info.id || outlook.is_doubtful);
-      if (!outlook.is_usable || is_risk || outlook.is_quarantined) {
+                           (task.failed_on == info.id || status.is_unreliable);
+      if (!status.is_usable || is_risk || status.is_quarantined) {
         continue;
       }
-      cost += outlook.is_doubtful ? kDoubtful : 0;
-      cost += step.is_persistent && outlook.is_due_down ? kDueDown : 0;
-      cost += kSameStepHere * here;
+      cost += status.is_unreliable ? kUnreliableCost : 0;
+      cost +=
+          step.is_persistent && status.is_shutdown_due ? kShutdownDueCost : 0;
+      cost += kSameStepCost * here;
       if (cost < best_cost) {
         best = &place;
         best_cost = cost;
@@ -617,12 +649,12 @@
     return best;
   }
 
-  void Take(const Candidate& candidate,
-            const StepSpec& step,
-            uint32_t index,
-            Place& place,
-            std::vector<RunStarted>& out,
-            bool is_reserved = true) {
+  void Assign(const Candidate& candidate,
+              const StepSpec& step,
+              uint32_t index,
+              Place& place,
+              std::vector<RunStarted>& out,
+              bool is_reserved = true) {
     const TaskId id{candidate.job->id, candidate.occurrence, candidate.step,
                     index};
     RunStarted start{id, NextRun(candidate, step, id), place.worker->info.id};
@@ -637,7 +669,7 @@
     out.push_back(std::move(start));
   }
 
-  // The members of a gang share one number.
+  // The number of a task's next run. All members of a gang get the same one.
   static uint32_t NextRun(const Candidate& candidate,
                           const StepSpec& step,
                           const TaskId& id) {
@@ -654,14 +686,14 @@
   }
 
   void Reserve(const RunStarted& start, const StepSpec& step) {
-    m_planner.m_reserved[start.task] = start.worker;
-    ++m_planner.m_reserved_jobs[start.task.job];
+    m_planner.m_reserved_worker[start.task] = start.worker;
+    ++m_planner.m_reserved_tasks[start.task.job];
     Add(m_planner.m_reserved_room[start.worker], RoomOf(step));
     const Job& job = *m_input.ledger.FindJob(start.task.job);
-    m_planner.m_reserved_steps[{start.task, start.run}] = {
+    m_planner.m_reservations[{start.task, start.run}] = {
         RoomOf(step), step.need, job.organisation};
     if (!job.organisation.empty()) {
-      Add(m_planner.m_reserved_caps[job.organisation], step.need);
+      Add(m_planner.m_reserved_of_cap[job.organisation], step.need);
     }
     if (job.tasks[job.IndexOf(start.task)].IsSuspect()) {
       m_planner.m_reserved_suspects[start.worker].insert(start.task);
@@ -670,19 +702,20 @@
 
   Planner& m_planner;
   const PlanInput& m_input;
-  std::map<std::string, std::vector<Place>> m_places;       // By service.
-  std::map<std::string, std::vector<Resources>> m_no_room;  // By service.
-  std::set<std::string> m_without_empty;    // Services, found to be so.
-  std::map<std::string, size_t> m_waiting;  // Suspects, by service.
+  std::map<std::string, std::vector<Place>> m_places_of;      // By service.
+  std::map<std::string, std::vector<Resources>> m_too_large;  // By service.
+  // Services in which no worker is free for a suspect.
+  std::set<std::string> m_without_empty_place;
+  std::map<std::string, size_t> m_waiting_suspects;  // Counts, by service.
 };
 
-// In the ledger's own order.
+// Ordered as in the ledger.
 const std::vector<const Worker*>& Planner::WorkersOf(
     const Ledger& ledger,
     const std::string& service) {
   const std::pair source(&ledger, ledger.workers_version());
-  if (m_index_source != source) {
-    m_index_source = source;
+  if (m_workers_source != source) {
+    m_workers_source = source;
     m_workers_of.clear();
     for (const auto& [id, worker] : ledger.workers()) {
       m_workers_of[worker.info.service].push_back(&worker);
@@ -692,8 +725,8 @@
 }
 
 double Planner::RunTimeRatio(const std::string& queue) const {
-  const auto found = m_ratio.find(queue);
-  return found == m_ratio.end() ? 1.0 : found->second;
+  const auto found = m_run_time_ratios.find(queue);
+  return found == m_run_time_ratios.end() ? 1.0 : found->second;
 }
 
 void Planner::Learn(const std::string& queue, Millis estimate, Millis taken) {
@@ -702,57 +735,60 @@
   }
   const double seen = std::clamp(static_cast<double>(taken.count()) /
                                      static_cast<double>(estimate.count()),
-                                 kSmallestRatio, kLargestRatio);
-  double& ratio = m_ratio.try_emplace(queue, 1.0).first->second;
-  ratio += kLearningRate * (seen - ratio);
+                                 kMinRunTimeRatio, kMaxRunTimeRatio);
+  double& ratio = m_run_time_ratios.try_emplace(queue, 1.0).first->second;
+  ratio += kRatioLearningRate * (seen - ratio);
 }
 
 SteadyTime Planner::DeadlineOf(const QueueSpec* queue,
                                const Job& job,
-                               SteadyTime seen_at) const {
+                               SteadyTime first_seen_at) const {
   Millis chain{0};
   for (const StepSpec& step : job.spec.steps) {
     chain += step.estimate;
   }
   const double stretch = queue == nullptr ? 1 : queue->stretch;
   const Millis target = queue == nullptr ? Millis(0) : queue->target_latency;
-  return seen_at + Scaled(chain, RunTimeRatio(job.queue) * stretch) + target;
+  return first_seen_at + Scaled(chain, RunTimeRatio(job.queue) * stretch) +
+         target;
 }
 
 bool Planner::IsHopeless(const Job& job,
                          uint32_t occurrence,
                          SteadyTime deadline,
                          SteadyTime now) const {
-  const double factor = RunTimeRatio(job.queue) * kHopelessShare;
-  return now + Scaled(RemainingChain(job, occurrence), factor) > deadline;
+  const double factor = RunTimeRatio(job.queue) * kRemainingTimeFactor;
+  return now + Scaled(RemainingCriticalPath(job, occurrence), factor) >
+         deadline;
 }
 
 double Planner::WorkOf(const Job& job) const {
   double work = 0;
   for (const StepSpec& step : job.spec.steps) {
     if (!step.is_persistent) {
-      work += CoreMillis(step) * step.count;
+      work += CoreMilliseconds(step) * step.count;
     }
   }
   return work * RunTimeRatio(job.queue);
 }
 
-WaitingWork Planner::Waiting(const Ledger& ledger,
+PendingWork Planner::Waiting(const Ledger& ledger,
                              const Job& job,
-                             SteadyTime seen_at,
+                             SteadyTime first_seen_at,
                              SteadyTime now) const {
-  WaitingWork waiting;
+  PendingWork waiting;
   for (size_t index = 0; index < job.tasks.size(); ++index) {
     const StepSpec& step = job.StepOf(index);
     const Task& task = job.tasks[index];
     if (!task.is_done && task.active.empty() && !step.is_persistent) {
-      waiting.core_millis += CoreMillis(step);
+      waiting.core_millis += CoreMilliseconds(step);
     }
   }
   waiting.core_millis *= RunTimeRatio(job.queue);
   const SteadyTime deadline =
-      DeadlineOf(ledger.FindQueueByName(job.queue), job, seen_at);
-  const SteadyTime limit = seen_at + kLateLimit * (deadline - seen_at);
+      DeadlineOf(ledger.FindQueueByName(job.queue), job, first_seen_at);
+  const SteadyTime limit =
+      first_seen_at + kUselessAfterFactor * (deadline - first_seen_at);
   const bool is_late = IsHopeless(job, 0, deadline, now);
   waiting.left = std::chrono::floor<Millis>((is_late ? limit : deadline) - now);
   waiting.is_hopeless = IsHopeless(job, 0, limit, now);
@@ -763,27 +799,27 @@
   return Scaled(job.spec.steps[step].estimate, RunTimeRatio(job.queue));
 }
 
-void Planner::GatherStep(const PlanInput& input,
-                         const Job& job,
-                         uint32_t occurrence,
-                         uint32_t step,
-                         std::vector<Candidate>& out) const {
+void Planner::AddCandidate(const PlanInput& input,
+                           const Job& job,
+                           uint32_t occurrence,
+                           uint32_t step,
+                           std::vector<Candidate>& out) const {
   const StepSpec& spec = job.spec.steps[step];
   Candidate candidate;
   candidate.job = &job;
   candidate.occurrence = occurrence;
   candidate.step = step;
-  candidate.has_reserved = m_reserved_jobs.contains(job.id);
-  const auto seen = input.seen_at.find(job.id);
+  candidate.has_reservations = m_reserved_tasks.contains(job.id);
+  const auto seen = input.first_seen_at.find(job.id);
   const SteadyTime since =
-      seen == input.seen_at.end() ? input.now : seen->second;
+      seen == input.first_seen_at.end() ? input.now : seen->second;
   candidate.queue = input.ledger.FindQueueByName(job.queue);
-  candidate.waits_since = since;
+  candidate.waiting_since = since;
   candidate.priority =
       candidate.queue == nullptr ? 0 : candidate.queue->priority;
-  candidate.is_begun = job.state == JobState::kRunning;
+  candidate.is_running = job.state == JobState::kRunning;
   const SteadyTime deadline = DeadlineOf(candidate.queue, job, since);
-  const SteadyTime limit = since + kLateLimit * (deadline - since);
+  const SteadyTime limit = since + kUselessAfterFactor * (deadline - since);
   candidate.deadline = deadline;
   if (spec.is_persistent) {
     candidate.urgency = Urgency::kPersistent;
@@ -792,11 +828,12 @@
   } else if (IsHopeless(job, occurrence, limit, input.now)) {
     candidate.urgency = Urgency::kHopeless;
   } else if (IsHopeless(job, occurrence, deadline, input.now)) {
-    // Late, but not lost: behind what can be on time while there is time, and
-    // before it when there is none left.
+    // The deadline cannot be met, but the work is still of use until the limit.
+    // It goes behind the work that can be on time, and is ordered among it by
+    // that limit when the time to start is nearly over.
     const bool is_last_call =
         m_mechanisms.Has(Mechanism::kLastCall) &&
-        IsHopeless(job, occurrence, limit, input.now + kLastCall);
+        IsHopeless(job, occurrence, limit, input.now + kLastCallMargin);
     candidate.urgency = is_last_call ? Urgency::kOnTime : Urgency::kLate;
     candidate.deadline = limit;
   }
@@ -806,9 +843,10 @@
   out.push_back(candidate);
 }
 
-// Indices of the tasks of a step that are neither done nor running nor being
-// committed.
-std::vector<uint32_t> Planner::FreeTasks(const Candidate& candidate) const {
+// Indices of the tasks of a step that are not done, running, being committed,
+// given up or held back.
+std::vector<uint32_t> Planner::StartableTasks(
+    const Candidate& candidate) const {
   const Job& job = *candidate.job;
   const uint32_t count = job.spec.steps[candidate.step].count;
   TaskId id{job.id, candidate.occurrence, candidate.step, 0};
@@ -817,7 +855,8 @@
   tasks.reserve(count);
   for (id.index = 0; id.index < count; ++id.index) {
     const Task& task = job.tasks[first + id.index];
-    const bool is_reserved = candidate.has_reserved && m_reserved.contains(id);
+    const bool is_reserved =
+        candidate.has_reservations && m_reserved_worker.contains(id);
     if (!task.is_done && task.active.empty() && !is_reserved &&
         !task.is_given_up && !task.IsHeldBack()) {
       tasks.push_back(id.index);
@@ -826,30 +865,32 @@
   return tasks;
 }
 
-std::vector<Planner::Candidate> Planner::Gather(const PlanInput& input) const {
+std::vector<Planner::Candidate> Planner::CollectCandidates(
+    const PlanInput& input) const {
   std::vector<Candidate> candidates;
   for (const std::string& id : input.ledger.open_jobs()) {
     const Job& job = *input.ledger.FindJob(id);
-    // Most open jobs have all that is left of them running.
+    // Most open jobs already run all of their remaining tasks.
     if (job.is_over() || job.tasks_left <= job.active_runs ||
         m_deferred.contains(id)) {
       continue;
     }
-    VisitOpenSteps(job, input.wall, [&](uint32_t occurrence, uint32_t step) {
-      GatherStep(input, job, occurrence, step, candidates);
-      return true;
-    });
+    VisitOpenSteps(job, input.wall_now,
+                   [&](uint32_t occurrence, uint32_t step) {
+                     AddCandidate(input, job, occurrence, step, candidates);
+                     return true;
+                   });
   }
   return candidates;
 }
 
-// Late work goes last, so suspects of late jobs would wait for as long as work
-// on time takes each worker that becomes free.
-void Planner::PutLongWaitingFirst(SteadyTime now,
-                                  std::vector<Candidate>& candidates) const {
+// Work on time goes before late work and would take each worker that becomes
+// free, so that suspects of late jobs would starve.
+void Planner::PromoteStarvedSuspects(SteadyTime now,
+                                     std::vector<Candidate>& candidates) const {
   std::map<std::string, SteadyTime> first_of;  // By job.
-  for (const auto& [id, since] : m_suspects_waiting) {
-    if (now - since > kLongWait) {
+  for (const auto& [id, since] : m_suspect_waits) {
+    if (now - since > kStarvedSuspectWait) {
       SteadyTime& first = first_of.try_emplace(id.job, since).first->second;
       first = std::min(first, since);
     }
@@ -859,7 +900,7 @@
     const bool may_go_first =
         candidate.urgency != Urgency::kPersistent && !candidate.job->is_excess;
     if (first != first_of.end() && may_go_first) {
-      candidate.urgency = Urgency::kOverdue;
+      candidate.urgency = Urgency::kStarvedSuspect;
       candidate.deadline = first->second;
     }
   }
@@ -869,80 +910,82 @@
   std::erase_if(m_deferred, [&input](const auto& deferred) {
     return deferred.second <= input.now;
   });
-  std::vector<Candidate> candidates = Gather(input);
-  PutLongWaitingFirst(input.now, candidates);
+  std::vector<Candidate> candidates = CollectCandidates(input);
+  PromoteStarvedSuspects(input.now, candidates);
   std::stable_sort(
       candidates.begin(), candidates.end(),
       [](const Candidate& a, const Candidate& b) { return a.Key() < b.Key(); });
   std::vector<RunStarted> starts;
   m_cost = {candidates.size(), 0};
-  m_cleared_before = std::exchange(m_clearing, {});
-  m_suspects_waited = std::exchange(m_suspects_waiting, {});
+  m_previously_cordoned = std::exchange(m_cordoned, {});
+  m_previous_suspect_waits = std::exchange(m_suspect_waits, {});
   if (candidates.empty()) {
     return starts;
   }
   Placement placement(*this, input, candidates);
   for (const Candidate& candidate : candidates) {
-    placement.Put(candidate, starts);
+    placement.PlaceStep(candidate, starts);
   }
   return starts;
 }
 
-// Tries the start on a copy, which knows what is reserved and keeps nothing.
-StartOutlook Planner::OutlookOf(const PlanInput& input,
-                                const Job& job,
-                                uint32_t occurrence,
-                                uint32_t step) const {
-  StartOutlook outlook{occurrence, step};
+// Plans the step on a copy of the planner, which has the same reservations, so
+// that nothing is reserved here.
+StartOutlook Planner::DiagnoseStep(const PlanInput& input,
+                                   const Job& job,
+                                   uint32_t occurrence,
+                                   uint32_t step) const {
+  StartOutlook diagnosis{occurrence, step};
   const size_t first = job.IndexOf({job.id, occurrence, step, 0});
   uint32_t reserved = 0;
   for (uint32_t index = 0; index < job.spec.steps[step].count; ++index) {
     const Task& task = job.tasks[first + index];
     const bool waits =
         !task.is_done && !task.is_given_up && task.active.empty();
-    outlook.tasks += waits ? 1 : 0;
-    reserved += m_reserved.contains({job.id, occurrence, step, index}) ? 1 : 0;
+    diagnosis.tasks += waits ? 1 : 0;
+    reserved +=
+        m_reserved_worker.contains({job.id, occurrence, step, index}) ? 1 : 0;
   }
   std::vector<Candidate> candidates;
-  GatherStep(input, job, occurrence, step, candidates);
-  const size_t free = FreeTasks(candidates.front()).size();
+  AddCandidate(input, job, occurrence, step, candidates);
+  const size_t free = StartableTasks(candidates.front()).size();
   const StepSpec& spec = job.spec.steps[step];
   if (free == 0 || (spec.is_gang && free < spec.count)) {
-    outlook.obstacle = reserved > 0 ? StartObstacle::kBeingCommitted
-                                    : StartObstacle::kGangIncomplete;
-    return outlook;
+    diagnosis.obstacle = reserved > 0 ? StartObstacle::kBeingCommitted
+                                      : StartObstacle::kGangIncomplete;
+    return diagnosis;
   }
   Planner trial(*this);
-  trial.m_cleared_before = std::exchange(trial.m_clearing, {});
-  trial.m_suspects_waited = std::exchange(trial.m_suspects_waiting, {});
+  trial.m_previously_cordoned = std::exchange(trial.m_cordoned, {});
+  trial.m_previous_suspect_waits = std::exchange(trial.m_suspect_waits, {});
   Placement placement(trial, input, candidates);
-  placement.Count(candidates.front(), outlook);
+  placement.Count(candidates.front(), diagnosis);
   const bool is_over_cap = placement.IsOverCap(job, spec);
   std::vector<RunStarted> starts;
-  placement.Put(candidates.front(), starts);
+  placement.PlaceStep(candidates.front(), starts);
   if (m_deferred.contains(job.id)) {
-    outlook.obstacle = StartObstacle::kDeferred;
+    diagnosis.obstacle = StartObstacle::kDeferred;
   } else if (is_over_cap) {
-    outlook.obstacle = StartObstacle::kOverCap;
-  } else if (outlook.workers == 0) {
-    outlook.obstacle = StartObstacle::kNoWorker;
-  } else if (outlook.with_room == 0) {
-    outlook.obstacle = StartObstacle::kNoRoom;
+    diagnosis.obstacle = StartObstacle::kOverCap;
+  } else if (diagnosis.workers == 0) {
+    diagnosis.obstacle = StartObstacle::kNoWorker;
+  } else if (diagnosis.with_room == 0) {
+    diagnosis.obstacle = StartObstacle::kNoRoom;
   } else if (starts.empty()) {
-    const bool is_suspect = !trial.m_clearing.empty();
-    outlook.obstacle =
+    const bool is_suspect = !trial.m_cordoned.empty();
+    diagnosis.obstacle =
         is_suspect ? StartObstacle::kNoEmptyWorker : StartObstacle::kNotAllowed;
   }
-  return outlook;
+  return diagnosis;
 }
 
 std::optional<StartOutlook> Planner::Explain(const PlanInput& input,
                                              const Job& job) const {
   std::optional<StartOutlook> first;
-  VisitOpenSteps(job, input.wall, [&](uint32_t occurrence, uint32_t step) {
-    const StartOutlook outlook = OutlookOf(input, job, occurrence, step);
-    if (outlook.tasks > 0) {
-      first = outlook;
+  VisitOpenSteps(job, input.wall_now, [&](uint32_t occurrence, uint32_t step) {
+    const StartOutlook diagnosis = DiagnoseStep(input, job, occurrence, step);
+    if (diagnosis.tasks > 0) {
+      first = diagnosis;
     }
     return !first;
   });
@@ -954,21 +997,21 @@
 }
 
 void Planner::Settled(const RunStarted& start) {
-  const auto found = m_reserved_steps.find({start.task, start.run});
-  if (found == m_reserved_steps.end()) {
+  const auto found = m_reservations.find({start.task, start.run});
+  if (found == m_reservations.end()) {
     return;
   }
   const Reservation& reserved = found->second;
   if (!reserved.organisation.empty()) {
-    Subtract(m_reserved_caps[reserved.organisation], reserved.need);
+    Subtract(m_reserved_of_cap[reserved.organisation], reserved.need);
   }
   Resources& room = m_reserved_room[start.worker];
   Subtract(room, reserved.room);
   if (room == Resources()) {
     m_reserved_room.erase(start.worker);
   }
-  m_reserved_steps.erase(found);
-  m_reserved.erase(start.task);
+  m_reservations.erase(found);
+  m_reserved_worker.erase(start.task);
   const auto suspect = m_reserved_suspects.find(start.worker);
   if (suspect != m_reserved_suspects.end()) {
     suspect->second.erase(start.task);
@@ -976,9 +1019,9 @@
       m_reserved_suspects.erase(suspect);
     }
   }
-  const auto job = m_reserved_jobs.find(start.task.job);
+  const auto job = m_reserved_tasks.find(start.task.job);
   if (--job->second == 0) {
-    m_reserved_jobs.erase(job);
+    m_reserved_tasks.erase(job);
   }
 }
 
