--- a/packages/scheduling/include/laurelhall/scheduling/answer_time.h
+++ b/packages/scheduling/include/laurelhall/scheduling/answer_time.h
@@ -7,37 +7,39 @@
 
 namespace laurelhall::scheduling {
 
-/// How long to wait for an answer, by how long answers took so far.
+/// Derives the timeout of an order from the time that earlier answers took.
 ///
-/// @remarks Pure; not thread-safe. The estimate of a TCP sender: the smoothed
-///   time and four times its mean deviation. Some workers leave orders
-///   unanswered; on a network where an answer takes some milliseconds their
-///   tasks then wait for 120 ms rather than for a fixed 450 ms, and so does all
-///   that queues behind on the same connection. A leader that is short of
-///   processor time sees answers late, and waits for longer.
+/// @remarks Has no side effects beyond its own state; not thread-safe. Computed
+///   like the retransmission timeout of TCP: the smoothed answer time plus four
+///   times its mean deviation. Some workers leave orders unanswered. On a
+///   network where an answer takes a few milliseconds, their tasks, and all
+///   that queues behind them on the same connection, then wait for 120 ms
+///   instead of a fixed 450 ms. A leader that is short of processor time sees
+///   answers late, which raises the timeout.
 class AnswerTime {
  public:
-  /// An answer came after this time.
+  /// Records the time that an answer took.
   void Observe(Millis taken) {
-    const auto seen = static_cast<double>(taken.count());
-    m_deviation += kGain * (std::abs(seen - m_smooth) - m_deviation);
-    m_smooth += kGain * (seen - m_smooth);
+    const auto sample = static_cast<double>(taken.count());
+    m_deviation += kSmoothing * (std::abs(sample - m_smoothed) - m_deviation);
+    m_smoothed += kSmoothing * (sample - m_smoothed);
   }
 
+  /// How long to wait for the next answer.
   Millis Timeout() const {
-    const Millis wanted(static_cast<int64_t>(m_smooth + 4 * m_deviation));
-    return std::clamp(wanted, kShortest, kLongest);
+    const Millis timeout(static_cast<int64_t>(m_smoothed + 4 * m_deviation));
+    return std::clamp(timeout, kMinTimeout, kMaxTimeout);
   }
 
  private:
-  // Two orders of a round trip over regions, 60 ms.
-  static constexpr Millis kShortest{120};
-  // A slow moment on either side.
-  static constexpr Millis kLongest{450};
-  static constexpr double kGain = 0.1;
-
-  double m_smooth = static_cast<double>(kLongest.count()) / 4;
-  double m_deviation = static_cast<double>(kLongest.count()) / 8;
+  // Two round trips of 60 ms between regions.
+  static constexpr Millis kMinTimeout{120};
+  // Covers a short delay of the worker or the leader.
+  static constexpr Millis kMaxTimeout{450};
+  static constexpr double kSmoothing = 0.1;
+
+  double m_smoothed = static_cast<double>(kMaxTimeout.count()) / 4;
+  double m_deviation = static_cast<double>(kMaxTimeout.count()) / 8;
 };
 
 }  // namespace laurelhall::scheduling
--- a/packages/scheduling/include/laurelhall/scheduling/demand.h
+++ b/packages/scheduling/include/laurelhall/scheduling/demand.h
@@ -12,47 +12,53 @@
 
 namespace laurelhall::scheduling {
 
-/// Work that arrives for services over time, and what is to be expected of it.
+/// Records the work that arrives for each service and forecasts later demand
+/// from it.
 ///
-/// @remarks Pure; not thread-safe. Work is in core-milliseconds. A pattern that
-///   comes again is found over all services together: when each has its turn,
-///   one turn of any of them tells the time of the next ones.
+/// @remarks Has no side effects beyond its own state; not thread-safe. Work is
+///   in core-milliseconds. A repeating pattern is sought in all services
+///   together: where they rush one after the other, the turn of any of them
+///   tells when the next ones come.
 class DemandMeter {
  public:
   explicit DemandMeter(const MechanismSet& mechanisms = {})
       : m_mechanisms(mechanisms) {}
 
-  /// Takes in work that arrived.
+  /// Records work in core-milliseconds that arrived for a service.
   void Arrived(const std::string& service, double work, SteadyTime now);
 
-  /// Cores that the work of the last moments keeps busy.
+  /// The number of cores that the work which arrived lately (in up to three
+  /// bins of 250 ms) keeps busy.
   double Rate(const std::string& service, SteadyTime now) const;
 
-  /// Cores expected around a later time, by what is known of the pattern; zero
-  /// while nothing is.
+  /// The number of cores that the work expected around `now + ahead` needs;
+  /// zero if neither turns nor a period are recognised.
   double Expected(const std::string& service,
                   SteadyTime now,
                   Millis ahead) const;
 
-  /// Looks for a pattern; to be called some times a second.
+  /// Updates the forecast from the recorded work. Meant to be called a few
+  /// times a second.
   void Learn(SteadyTime now);
 
-  /// How long a turn lasts; zero while no turns are believed in.
+  /// The length of a service's turn in a rush; zero while no turns are
+  /// recognised.
   Millis turn_length() const;
 
-  /// The pattern's length; zero while none is known.
+  /// The period after which arrivals repeat; zero while none is recognised.
   Millis period() const { return m_period; }
 
  private:
-  int64_t BinAt(SteadyTime time) const;
-  double WorkIn(const WorkBins& bins, int64_t first, int64_t last) const;
+  int64_t BinIndexAt(SteadyTime time) const;
+  double SumWork(const WorkBins& bins, int64_t first, int64_t last) const;
   void LearnPeriod(int64_t last);
-  double Likeness(int64_t lag, int64_t last) const;
+  double Autocorrelation(int64_t lag, int64_t last) const;
 
   MechanismSet m_mechanisms;
-  std::optional<SteadyTime> m_begun_at;
-  std::map<std::string, WorkBins> m_bins;  // By service, from m_begun_at.
-  TurnForecast m_turns;
+  std::optional<SteadyTime> m_first_bin_at;
+  std::map<std::string, WorkBins>
+      m_bins_of;  // By service, bin 0 at m_first_bin_at.
+  TurnForecast m_turn_forecast;
   Millis m_period{0};
 };
 
--- a/packages/scheduling/include/laurelhall/scheduling/leader_lease.h
+++ b/packages/scheduling/include/laurelhall/scheduling/leader_lease.h
@@ -4,39 +4,42 @@
 
 namespace laurelhall::scheduling {
 
-/// How long a leader may act on the last word of a quorum.
+/// The time for which a leader may act after a quorum has confirmed it.
 ///
-/// @remarks Pure; not thread-safe. Voters that heard a leader grant nobody else
-///   a vote for the shortest election time, so for that long after a question
-///   which a quorum answered no other leader can have given an order. Counted
-///   on the boot clock from when the question was asked: a process that was
-///   frozen or suspended in between finds its lease over before its first act.
+/// @remarks Has no side effects beyond its own state; not thread-safe. A voter
+///   that heard a leader grants nobody else a vote for the minimum election
+///   timeout. For that long after a request that a quorum answered, no other
+///   leader can have given an order. The lease counts from the time of the
+///   request on the boot clock, so that a process that was frozen or suspended
+///   meanwhile finds its lease expired before it acts.
 class LeaderLease {
  public:
-  /// @param length Shorter than the shortest election time.
+  /// @param length Must be shorter than the minimum election timeout.
   explicit LeaderLease(Millis length) : m_length(length) {}
 
-  /// A quorum answered what was asked at `asked_at`.
+  /// Extends the lease, since a quorum answered the request sent at `asked_at`.
   void Renew(BootTime asked_at) {
     m_asked_at = asked_at > m_asked_at ? asked_at : m_asked_at;
   }
 
   bool IsHeld(BootTime now) const { return now - m_asked_at < m_length; }
 
-  /// How long ago it ended; zero while it is held.
+  /// How long ago the lease expired; zero while it is held.
   Millis OverFor(BootTime now) const {
-    const auto over = std::chrono::ceil<Millis>(now - m_asked_at) - m_length;
-    return over > Millis(0) ? over : Millis(0);
+    const auto expired_for =
+        std::chrono::ceil<Millis>(now - m_asked_at) - m_length;
+    return expired_for > Millis(0) ? expired_for : Millis(0);
   }
 
-  /// Whether to ask again, so that the lease does not run out between acts.
+  /// Whether half of the lease has passed, when it is to be renewed so that it
+  /// does not expire between two acts.
   bool IsHalfOver(BootTime now) const {
     return now - m_asked_at >= m_length / 2;
   }
 
  private:
   Millis m_length;
-  // Never asked: longer ago than any lease.
+  // Until the first renewal: longer ago than the length of any lease.
   BootTime m_asked_at{-std::chrono::hours(1)};
 };
 
--- a/packages/scheduling/include/laurelhall/scheduling/mechanism.h
+++ b/packages/scheduling/include/laurelhall/scheduling/mechanism.h
@@ -7,33 +7,38 @@
 
 namespace laurelhall::scheduling {
 
-/// Parts of the policy that can be switched off one by one: to measure what
-/// each is worth, or when one misleads the others.
+/// Parts of the scheduling policy that can be switched off one by one, to
+/// measure the benefit of each, or if one disturbs the others. MechanismName()
+/// gives the names that settings use.
 enum class Mechanism : uint8_t {
-  kTurns,          ///< Hosts move ahead of a rush when services take turns.
-  kPeriod,         ///< Hosts move ahead of a load that came a period before.
-  kParking,        ///< Hosts that nobody needs are switched off.
-  kHeadroom,       ///< More cores are kept than the mean need.
+  kTurns,          ///< Hosts move before a rush if services take turns.
+  kPeriod,         ///< Hosts move before a load that recurs periodically.
+  kParking,        ///< Hosts that no service needs are switched off.
+  kHeadroom,       ///< Services get more cores than their mean need.
   kLeastStay,      ///< A host that has moved stays for some seconds.
-  kEmptyingLimit,  ///< Hosts with long work left do not move.
-  kGathering,      ///< Short tasks go to few hosts, so that others can move.
-  kDoubt,          ///< Workers that fail what others do are avoided.
-  kHopelessOrder,  ///< What is too late goes behind what can be on time.
-  kLastCall,       ///< Late work goes first before its caller would lose it.
-  kDataWait,       ///< A task waits for the rack of its data.
-  kLearnedTimes,   ///< Run times are learned by queue.
-  kPacing,         ///< Filling tasks are slowed beside serving ones.
-  kRelays,         ///< Other hosts make a leader's calls to many workers.
+  kEmptyingLimit,  ///< Hosts whose tasks still run for long do not move.
+  kGathering,      ///< Short tasks are packed onto few hosts, so that others
+                   ///< can move.
+  kDoubt,          ///< Workers that fail tasks which others complete are
+                   ///< avoided.
+  kHopelessOrder,  ///< Work that is too late goes behind work that can be on
+                   ///< time.
+  kLastCall,       ///< Late work goes first shortly before it would be of no
+                   ///< use to its caller.
+  kDataWait,       ///< A task waits for a worker on the rack of its data.
+  kLearnedTimes,   ///< Estimated run times are corrected by queue.
+  kPacing,         ///< Filling tasks are slowed down beside serving ones.
+  kRelays,         ///< Other hosts relay a leader's calls to many workers.
   kCount,
 };
 
-/// A lower-case word for settings and logs. Thread-safe.
+/// The kebab-case name of a mechanism in settings and logs. Thread-safe.
 std::string_view MechanismName(Mechanism mechanism);
 
-/// The mechanism of a name; none for another text. Thread-safe.
+/// The mechanism of a name; nothing if the name is unknown. Thread-safe.
 std::optional<Mechanism> FindMechanism(std::string_view name);
 
-/// Which mechanisms are in use; all by default. Not thread-safe.
+/// The mechanisms in use; all by default. Not thread-safe.
 class MechanismSet {
  public:
   bool Has(Mechanism mechanism) const {
--- a/packages/scheduling/include/laurelhall/scheduling/pools.h
+++ b/packages/scheduling/include/laurelhall/scheduling/pools.h
@@ -8,61 +8,66 @@
 
 namespace laurelhall::scheduling {
 
-/// A pool of hosts and what its service needs.
+/// A pool of hosts and the demand of the service that it belongs to.
 struct PoolNeed {
   std::string service;
-  bool is_spare = false;
-  double needed_cores = 0;    ///< For what is here and what keeps coming.
-  double expected_cores = 0;  ///< When a move would be done; 0: not known.
-  uint32_t least_hosts = 0;   ///< That its persistent tasks need, apart.
+  bool is_spare = false;      ///< For parked hosts, which serve nobody.
+  double needed_cores = 0;    ///< For the work at hand and what arrives.
+  double expected_cores = 0;  ///< Once a move would be done; 0: unknown.
+  uint32_t min_hosts = 0;     ///< To spread its persistent tasks over.
 };
 
-/// A host as the choice of moves sees it.
+/// A host as an input of PlanMoves().
 struct PoolHost {
   std::string host;
-  std::string service;  ///< Where it is, or is on its way to.
+  std::string service;  ///< Whose pool it is in or is moving to.
   double cores = 0;
-  double busy_cores = 0;    ///< Of short work that runs there.
-  Millis empties_in{0};     ///< Until what runs there has ended.
-  Millis idle_for{0};       ///< Since it last had short work.
-  bool is_movable = false;  ///< Up, not pinned, and under no other act.
-  SteadyTime since{};       ///< In this pool.
+  double busy_cores = 0;    ///< By running tasks, persistent ones aside.
+  Millis empties_in{0};     ///< Until its running tasks have ended.
+  Millis idle_for{0};       ///< Since it last ran such tasks.
+  bool is_movable = false;  ///< Up, not pinned, and under no other operation.
+  SteadyTime since{};       ///< When it came into this pool.
 };
 
+/// A host and the service whose pool it is to move to.
 struct PoolMove {
   std::string host;
   std::string to;
 };
 
-/// What moves are worth, whatever the deployment.
+/// Limits on moves, which hold for every deployment.
 struct PoolWeights {
-  /// A host stays at least so long: a move takes this long twice over, there
-  /// and back, in which it serves nobody.
+  /// A host stays in a pool for at least this long. A move there and back takes
+  /// this long twice over, and the host serves nobody meanwhile.
   Millis least_stay{3'000};
-  /// A host that would be busy for longer is left to its work.
+  /// A host whose running tasks take longer than this to end is not moved.
   Millis longest_emptying{1'500};
-  /// A host that nobody needed for so long is parked: the longest pattern that
-  /// the meter can see has gone by without it. Sooner costs more than it saves:
-  /// a parked host comes back after its move, when a rush is well under way.
+  /// A host that has been idle for this long is parked: the longest period that
+  /// DemandMeter recognises has passed without a need for it. Parking sooner
+  /// costs more than it saves, as a parked host returns only after its move,
+  /// when a rush is well under way.
   Millis park_after{60'000};
-  /// What all services together needed at most in the last seconds. Services
-  /// rush one after the other, so that their sum is far steadier than each.
+  /// Cores that parking leaves in use: the most that all services together
+  /// needed in the last seconds. Services rush one after the other, so that
+  /// their sum is far steadier than the need of each.
   double held_cores = 0;
-  /// Left to each service, whatever it needs: a rush is met by them until
-  /// others come.
-  uint32_t least_hosts = 3;
-  /// Of one round: what moves together is away together.
+  /// Hosts that each service keeps whatever it needs, to serve the start of a
+  /// rush until other hosts arrive.
+  uint32_t min_hosts = 3;
+  /// Most moves in one plan, because hosts that move together are out of
+  /// service together.
   size_t most_moves = 12;
   bool may_park = true;
 };
 
-/// Chooses hosts to move to where they are needed, and needless ones to a
-/// spare pool.
+/// Chooses hosts to move to the services that need them, and hosts that no
+/// service needs to park in the spare pool.
 ///
-/// @remarks Pure and thread-safe. One host at a time goes to the service that
-///   is served worst, from a spare pool first, else from the service that is
-///   served best, as long as that stays better off than the other becomes. What
-///   is only expected takes no host from what is needed now.
+/// @remarks Pure and thread-safe. Gives one host at a time to the service with
+///   the lowest coverage (cores held per core needed), from the spare pool if
+///   possible, else from a service with high coverage, as long as the donor
+///   stays better covered than the receiver becomes. Expected demand takes no
+///   host that is needed now.
 std::vector<PoolMove> PlanMoves(const std::vector<PoolNeed>& pools,
                                 std::vector<PoolHost> hosts,
                                 const PoolWeights& weights,
--- a/packages/scheduling/include/laurelhall/scheduling/turns.h
+++ b/packages/scheduling/include/laurelhall/scheduling/turns.h
@@ -7,63 +7,66 @@
 
 namespace laurelhall::scheduling {
 
-/// Work that arrived for a service, in core-milliseconds, by equal stretches of
-/// time ("bins").
+/// Work that arrived for a service, in core-milliseconds, summed over equal
+/// intervals of time ("bins").
 using WorkBins = std::vector<double>;
 
-/// A stretch of time in which most of the work came for one service.
+/// An interval in which most of the arriving work is for one service.
 struct Turn {
   std::string service;
-  int64_t begin = 0;       ///< First bin.
-  int64_t end = 0;         ///< Behind the last bin so far.
-  double work = 0;         ///< Of its service, in core-milliseconds.
-  bool is_closed = false;  ///< Another service's turn followed at once.
+  int64_t begin = 0;           ///< First bin.
+  int64_t end = 0;             ///< One past the last bin so far.
+  double work = 0;             ///< Of its service, in core-milliseconds.
+  bool has_successor = false;  ///< Another turn followed without a pause.
 };
 
-/// Finds turns in what arrived, oldest first. Thread-safe.
+/// Finds the turns in arrived work, oldest first. Thread-safe.
 ///
-/// @param last The last whole bin.
+/// @param last The last full bin.
 std::vector<Turn> FindTurns(const std::map<std::string, WorkBins>& bins,
                             int64_t last);
 
-/// Rushes of services that take turns: when the one under way will end, and
-/// whose is likely to follow.
+/// Forecasts the rushes of services that take turns: when the current turn
+/// ends, and which services are likely to have the next one.
 ///
-/// @remarks Pure; not thread-safe. Answers the load in which one service at a
-///   time asks several times its mean and the others rest. A host needs two to
-///   three seconds from the choice to its first task, half of a short rush;
-///   what is known after the first turns lets it move before the rush. Believed
-///   only while the turns' lengths are alike and what was foreseen came true;
-///   where services are busy in no order, nothing is foreseen.
+/// @remarks Has no side effects beyond its own state; not thread-safe. Meant
+/// for
+///   loads in which one service at a time gets several times its mean work
+///   while the others get little. A host needs two to three seconds from the
+///   decision to move until its first task there, which is half of a short
+///   rush; a forecast after the first turns lets it move before the rush.
+///   Forecasts only while turns are of similar length and earlier forecasts
+///   came true, so that services which are busy in no order get none.
 class TurnForecast {
  public:
-  /// Works everything out again from what arrived up to a bin.
+  /// Recomputes the forecast from the work that arrived up to bin `last`.
   void Learn(const std::map<std::string, WorkBins>& bins, int64_t last);
 
-  /// Core-milliseconds a bin expected for a service in a bin to come.
+  /// The work expected for a service in a future bin, in core-milliseconds.
   double Expected(const std::string& service, int64_t bin) const;
 
-  /// Of a turn in bins; zero while none is believed.
+  /// The length of a turn in bins; zero while there is no forecast.
   int64_t length() const { return m_length; }
 
  private:
-  struct Follower {
+  /// A service that may have the next turn.
+  struct Successor {
     std::string service;
-    double chance = 0;
+    double probability = 0;
   };
 
   void LearnLength(const std::vector<Turn>& turns);
-  std::vector<Follower> FindFollowers(
+  std::vector<Successor> FindSuccessors(
       const std::vector<Turn>& turns,
       const std::map<std::string, WorkBins>& bins) const;
-  void LearnLevels(const std::vector<Turn>& turns);
-  double LevelOf(const std::string& service) const;
+  void LearnWorkPerBin(const std::vector<Turn>& turns);
+  double WorkPerBinOf(const std::string& service) const;
 
   int64_t m_length = 0;
   int64_t m_next_begin = 0;
   std::string m_current;
-  std::vector<Follower> m_followers;
-  std::map<std::string, double> m_levels;  // Work a bin in a turn, by service.
+  std::vector<Successor> m_successors;
+  std::map<std::string, double> m_work_per_bin;  // During a turn, by service.
 };
 
 }  // namespace laurelhall::scheduling
--- a/packages/scheduling/src/mechanism.cc
+++ b/packages/scheduling/src/mechanism.cc
@@ -19,9 +19,9 @@
 }
 
 std::optional<Mechanism> FindMechanism(std::string_view name) {
-  for (size_t place = 0; place < kNames.size(); ++place) {
-    if (kNames.at(place) == name) {
-      return static_cast<Mechanism>(place);
+  for (size_t index = 0; index < kNames.size(); ++index) {
+    if (kNames.at(index) == name) {
+      return static_cast<Mechanism>(index);
     }
   }
   return std::nullopt;
--- a/packages/scheduling/src/pools.cc
+++ b/packages/scheduling/src/pools.cc
@@ -8,49 +8,52 @@
 
 namespace {
 
-// A gain in how well the worst-off service is served below which a host is
-// not worth its move.
-constexpr double kLeastGain = 0.1;
-
-class MoveChoice {
+// A service that is short of cores itself gives a host away only if it stays
+// better covered than the receiver becomes by more than this; a smaller gain is
+// not worth a move.
+constexpr double kMinCoverageGain = 0.1;
+
+// Makes one plan, and tracks the pools as they are after the moves chosen so
+// far.
+class MovePlanner {
  public:
-  MoveChoice(const std::vector<PoolNeed>& pools,
-             std::vector<PoolHost>& hosts,
-             const PoolWeights& weights,
-             SteadyTime now)
+  MovePlanner(const std::vector<PoolNeed>& pools,
+              std::vector<PoolHost>& hosts,
+              const PoolWeights& weights,
+              SteadyTime now)
       : m_hosts(hosts), m_weights(weights), m_now(now) {
     for (const PoolNeed& pool : pools) {
       if (pool.is_spare) {
-        m_spare = pool.service;
+        m_spare_pool = pool.service;
         continue;
       }
-      m_now_needed[pool.service] = pool.needed_cores;
-      m_soon_needed[pool.service] =
+      m_needed_now[pool.service] = pool.needed_cores;
+      m_needed_soon[pool.service] =
           std::max(pool.needed_cores, pool.expected_cores);
-      m_least[pool.service] = std::max(pool.least_hosts, weights.least_hosts);
+      m_min_hosts[pool.service] = std::max(pool.min_hosts, weights.min_hosts);
     }
     for (PoolHost& host : hosts) {
       m_cores[host.service] += host.cores;
-      m_count[host.service] += host.cores > 0 ? 1 : 0;
+      m_host_count[host.service] += host.cores > 0 ? 1 : 0;
       if (host.is_movable) {
-        m_givers[host.service].push_back(&host);
+        m_donors[host.service].push_back(&host);
       }
     }
-    for (auto& [service, givers] : m_givers) {
-      std::stable_sort(givers.begin(), givers.end(),
+    for (auto& [service, donors] : m_donors) {
+      std::stable_sort(donors.begin(), donors.end(),
                        [](const PoolHost* a, const PoolHost* b) {
                          return a->empties_in < b->empties_in;
                        });
     }
   }
 
-  std::vector<PoolMove> Choose() {
+  std::vector<PoolMove> Plan() {
     std::vector<PoolMove> moves;
-    m_needed = &m_now_needed;
-    while (moves.size() < m_weights.most_moves && Feed(moves)) {
+    m_needed = &m_needed_now;
+    while (moves.size() < m_weights.most_moves && MoveToLeastCovered(moves)) {
     }
-    m_needed = &m_soon_needed;
-    while (moves.size() < m_weights.most_moves && Feed(moves)) {
+    m_needed = &m_needed_soon;
+    while (moves.size() < m_weights.most_moves && MoveToLeastCovered(moves)) {
     }
     Park(moves);
     return moves;
@@ -59,56 +62,60 @@
  private:
   using Cores = std::map<std::string, double>;
 
-  // How well a service is served: cores for each core needed; not at all while
-  // it has fewer hosts than it must.
-  double Served(const std::string& service, double more = 0) const {
+  // Cores of a service, plus `extra_cores`, for each core that it needs; zero
+  // while it has fewer hosts than its minimum.
+  double Coverage(const std::string& service, double extra_cores = 0) const {
     const double needed = m_needed->at(service);
-    const auto count = m_count.find(service);
-    if (count == m_count.end() || count->second < m_least.at(service)) {
+    const auto count = m_host_count.find(service);
+    if (count == m_host_count.end() ||
+        count->second < m_min_hosts.at(service)) {
       return 0;
     }
     const auto found = m_cores.find(service);
-    const double cores = (found == m_cores.end() ? 0 : found->second) + more;
+    const double cores =
+        (found == m_cores.end() ? 0 : found->second) + extra_cores;
     return needed <= 0 ? std::numeric_limits<double>::max() : cores / needed;
   }
 
-  // Moves one host to the worst served service.
-  bool Feed(std::vector<PoolMove>& moves) {
-    std::string worst;
+  // Moves one host to the service with the lowest coverage. Returns false if
+  // all are covered or no host can be spared.
+  bool MoveToLeastCovered(std::vector<PoolMove>& moves) {
+    std::string receiver;
     for (const auto& [service, needed] : *m_needed) {
-      const bool is_short = needed > 0 || Served(service) <= 0;
-      if (is_short && (worst.empty() || Served(service) < Served(worst))) {
-        worst = service;
+      const bool is_short = needed > 0 || Coverage(service) <= 0;
+      if (is_short &&
+          (receiver.empty() || Coverage(service) < Coverage(receiver))) {
+        receiver = service;
       }
     }
-    if (worst.empty() || Served(worst) >= 1) {
+    if (receiver.empty() || Coverage(receiver) >= 1) {
       return false;
     }
-    PoolHost* best = nullptr;
-    for (auto& [service, givers] : m_givers) {
-      PoolHost* host = FirstGiver(givers, worst);
-      if (host != nullptr && (best == nullptr || Cost(*host) < Cost(*best))) {
-        best = host;
+    PoolHost* donor = nullptr;
+    for (auto& [service, donors] : m_donors) {
+      PoolHost* host = FindDonor(donors, receiver);
+      if (host != nullptr && (donor == nullptr || Cost(*host) < Cost(*donor))) {
+        donor = host;
       }
     }
-    if (best == nullptr) {
+    if (donor == nullptr) {
       return false;
     }
-    Move(*best, worst, moves);
+    Move(*donor, receiver, moves);
     return true;
   }
 
-  // The first of a service that it may give. Those after one that it needs
-  // itself are asked only if they are smaller: a rush chooses some ten of a
-  // thousand hosts seven times a second.
-  PoolHost* FirstGiver(const std::vector<PoolHost*>& givers,
-                       const std::string& to) const {
+  // The first host of a service that the service can spare. Once one cannot be
+  // spared, only smaller ones are checked after it, to keep the search cheap: a
+  // rush chooses some ten of a thousand hosts seven times a second.
+  PoolHost* FindDonor(const std::vector<PoolHost*>& donors,
+                      const std::string& to) const {
     double needed_cores = std::numeric_limits<double>::max();
-    for (PoolHost* host : givers) {
+    for (PoolHost* host : donors) {
       if (!MayMove(*host, to) || host->cores >= needed_cores) {
         continue;
       }
-      if (MayGive(*host, to)) {
+      if (CanSpare(*host, to)) {
         return host;
       }
       needed_cores = host->cores;
@@ -119,35 +126,35 @@
   bool MayMove(const PoolHost& host, const std::string& to) const {
     return host.is_movable && host.service != to &&
            host.empties_in <= m_weights.longest_emptying &&
-           (host.service == m_spare ||
+           (host.service == m_spare_pool ||
             m_now - host.since >= m_weights.least_stay);
   }
 
-  // Whether its service can do without one that may move.
-  bool MayGive(const PoolHost& host, const std::string& to) const {
-    if (host.service == m_spare) {
+  // Whether the service of a host that may move can do without it.
+  bool CanSpare(const PoolHost& host, const std::string& to) const {
+    if (host.service == m_spare_pool) {
       return true;
     }
     if (!m_needed->contains(host.service) ||
-        m_count.at(host.service) <= m_least.at(host.service)) {
+        m_host_count.at(host.service) <= m_min_hosts.at(host.service)) {
       return false;
     }
-    const double left = Served(host.service, -host.cores);
-    const bool is_ahead = m_needed == &m_soon_needed;
+    const double left = Coverage(host.service, -host.cores);
+    const bool is_forecast = m_needed == &m_needed_soon;
     return left >= 1 ||
-           (!is_ahead && left > Served(to, host.cores) + kLeastGain);
+           (!is_forecast && left > Coverage(to, host.cores) + kMinCoverageGain);
   }
 
-  // Parked hosts first, then those of the best served service; of one service
-  // those that are empty soonest.
+  // Parked hosts cost least. Others cost less the sooner they are idle and the
+  // better their service is covered.
   double Cost(const PoolHost& host) const {
-    if (host.service == m_spare) {
+    if (host.service == m_spare_pool) {
       return -1;
     }
-    const double served = std::min(Served(host.service), 100.0);
-    const double idle_seconds =
+    const double coverage = std::min(Coverage(host.service), 100.0);
+    const double seconds_until_idle =
         std::chrono::duration<double>(host.empties_in).count();
-    return idle_seconds + 1 / (0.1 + served);
+    return seconds_until_idle + 1 / (0.1 + coverage);
   }
 
   void Move(PoolHost& host,
@@ -155,41 +162,42 @@
             std::vector<PoolMove>& moves) {
     m_cores[host.service] -= host.cores;
     m_cores[to] += host.cores;
-    --m_count[host.service];
-    ++m_count[to];
+    --m_host_count[host.service];
+    ++m_host_count[to];
     host.service = to;
     host.is_movable = false;
     moves.push_back({host.host, to});
   }
 
-  // The longest idle first, as long as what is left serves each service, now
-  // and as foreseen, and all of them as they needed lately.
+  // Parks idle hosts, the longest idle first, as long as the rest covers the
+  // present and expected need of each service, and the cores that all services
+  // together needed lately.
   void Park(std::vector<PoolMove>& moves) {
-    if (m_spare.empty() || !m_weights.may_park) {
+    if (m_spare_pool.empty() || !m_weights.may_park) {
       return;
     }
-    double on = 0;
-    std::vector<PoolHost*> idle;
+    double active_cores = 0;
+    std::vector<PoolHost*> idle_hosts;
     for (PoolHost& host : m_hosts) {
-      on += host.service == m_spare ? 0 : host.cores;
-      if (host.is_movable && host.service != m_spare && host.busy_cores <= 0 &&
-          host.idle_for >= m_weights.park_after) {
-        idle.push_back(&host);
+      active_cores += host.service == m_spare_pool ? 0 : host.cores;
+      if (host.is_movable && host.service != m_spare_pool &&
+          host.busy_cores <= 0 && host.idle_for >= m_weights.park_after) {
+        idle_hosts.push_back(&host);
       }
     }
-    std::stable_sort(idle.begin(), idle.end(),
+    std::stable_sort(idle_hosts.begin(), idle_hosts.end(),
                      [](const PoolHost* a, const PoolHost* b) {
                        return a->idle_for > b->idle_for;
                      });
-    for (PoolHost* host : idle) {
-      const bool is_needless =
+    for (PoolHost* host : idle_hosts) {
+      const bool is_unneeded =
           m_needed->contains(host->service) &&
-          m_count.at(host->service) > m_least.at(host->service) &&
-          Served(host->service, -host->cores) >= 1 &&
-          on - host->cores >= m_weights.held_cores;
-      if (is_needless && moves.size() < m_weights.most_moves) {
-        on -= host->cores;
-        Move(*host, m_spare, moves);
+          m_host_count.at(host->service) > m_min_hosts.at(host->service) &&
+          Coverage(host->service, -host->cores) >= 1 &&
+          active_cores - host->cores >= m_weights.held_cores;
+      if (is_unneeded && moves.size() < m_weights.most_moves) {
+        active_cores -= host->cores;
+        Move(*host, m_spare_pool, moves);
       }
     }
   }
@@ -197,16 +205,16 @@
   std::vector<PoolHost>& m_hosts;
   const PoolWeights& m_weights;
   const SteadyTime m_now;
-  std::string m_spare;
-  Cores m_now_needed;
-  Cores m_soon_needed;
-  const Cores* m_needed = nullptr;  // Which of the two is looked at.
-  std::map<std::string, uint32_t> m_least;
+  std::string m_spare_pool;
+  Cores m_needed_now;
+  Cores m_needed_soon;
+  const Cores* m_needed = nullptr;  // The one of the two in use.
+  std::map<std::string, uint32_t> m_min_hosts;
   Cores m_cores;
-  std::map<std::string, uint32_t> m_count;  // Hosts.
-  // Movable hosts by the service that they were of, those first that are empty
-  // soonest.
-  std::map<std::string, std::vector<PoolHost*>> m_givers;
+  std::map<std::string, uint32_t> m_host_count;  // By service.
+  // Movable hosts by the service whose pool they started in, the soonest idle
+  // first.
+  std::map<std::string, std::vector<PoolHost*>> m_donors;
 };
 
 }  // namespace
@@ -215,7 +223,7 @@
                                 std::vector<PoolHost> hosts,
                                 const PoolWeights& weights,
                                 SteadyTime now) {
-  return MoveChoice(pools, hosts, weights, now).Choose();
+  return MovePlanner(pools, hosts, weights, now).Plan();
 }
 
 }  // namespace laurelhall::scheduling
--- a/packages/scheduling/src/turns.cc
+++ b/packages/scheduling/src/turns.cc
@@ -8,23 +8,26 @@
 
 namespace {
 
-// Of all work that arrives, what makes a service the one that has its turn.
-constexpr double kDominates = 0.6;
-// So many bins in a row begin another service's turn: single large jobs come at
-// any time.
+// A service that gets more than this share of all arriving work dominates.
+constexpr double kDominantShare = 0.6;
+// A service must dominate this many bins in a row for its turn to begin, since
+// single large jobs arrive at any time.
 constexpr int64_t kConfirmBins = 2;
-// A pause without a dominating service that ends a turn, with none to follow.
+// This many bins without a dominant service end a turn, and no other counts as
+// its successor.
 constexpr int64_t kPauseBins = 6;
-// Shorter ones are bursts, not turns: no host could come in time for one.
-constexpr int64_t kShortestBins = 6;
-// Lengths are alike when they are within this share of their median.
-constexpr double kAlike = 0.25;
-// The last turns that must be alike.
+// A shorter turn is a burst and is ignored: no host could arrive in time for
+// it.
+constexpr int64_t kMinTurnBins = 6;
+// Turns are of similar length if all are within this share of their median.
+constexpr double kLengthTolerance = 0.25;
+// How many of the last turns must be of similar length.
 constexpr size_t kComparedTurns = 3;
-// Of the followers that were foreseen, how many must have come.
-constexpr double kLeastTrust = 0.5;
-// A turn that outlasts what was expected by this share is of another kind.
-constexpr double kOverdue = 0.3;
+// Share of the predicted successors that must have come true.
+constexpr double kMinHitRate = 0.5;
+// A turn that is longer than the expected length by more than this share of it
+// invalidates the forecast.
+constexpr double kMaxOverrun = 0.3;
 
 double WorkAt(const WorkBins& bins, int64_t bin) {
   return bin >= 0 && bin < static_cast<int64_t>(bins.size())
@@ -32,14 +35,15 @@
              : 0;
 }
 
-// Three bins together: arrivals are few.
+// The work of a bin and its two neighbours, because arrivals are few.
 double WorkAround(const WorkBins& bins, int64_t bin) {
   return WorkAt(bins, bin - 1) + WorkAt(bins, bin) + WorkAt(bins, bin + 1);
 }
 
-// The service that most of the work around a bin came for; null if none.
-const std::string* DominatingAt(const std::map<std::string, WorkBins>& bins,
-                                int64_t bin) {
+// The service that dominates around a bin; null if none does.
+const std::string* DominantServiceAt(
+    const std::map<std::string, WorkBins>& bins,
+    int64_t bin) {
   const std::string* most = nullptr;
   double most_work = 0;
   double total = 0;
@@ -51,62 +55,62 @@
       most = &service;
     }
   }
-  return most_work > kDominates * total ? most : nullptr;
+  return most_work > kDominantShare * total ? most : nullptr;
 }
 
-// Turns from one bin to the next, before short ones are taken out.
+// Finds turns bin by bin. Short ones are not removed yet.
 class TurnFinder {
  public:
-  void Add(const std::string* service, int64_t bin) {
+  void AddBin(const std::string* service, int64_t bin) {
     if (service == nullptr) {
-      m_other_bins = 0;
-      if (!m_turns.empty() && bin - m_last_seen >= kPauseBins) {
+      m_candidate_bins = 0;
+      if (!m_turns.empty() && bin - m_last_dominant_bin >= kPauseBins) {
         m_is_paused = true;
       }
       return;
     }
     if (!m_turns.empty() && !m_is_paused &&
         m_turns.back().service == *service) {
-      m_other_bins = 0;
+      m_candidate_bins = 0;
       m_turns.back().end = bin + 1;
-      m_last_seen = bin;
+      m_last_dominant_bin = bin;
       return;
     }
-    if (m_other_bins == 0 || m_other != *service) {
-      m_other = *service;
-      m_other_bins = 0;
+    if (m_candidate_bins == 0 || m_candidate != *service) {
+      m_candidate = *service;
+      m_candidate_bins = 0;
     }
-    if (++m_other_bins >= kConfirmBins) {
-      Open(bin);
+    if (++m_candidate_bins >= kConfirmBins) {
+      StartTurn(bin);
     }
   }
 
-  std::vector<Turn> Take() { return std::move(m_turns); }
+  std::vector<Turn> TakeTurns() { return std::move(m_turns); }
 
  private:
-  void Open(int64_t bin) {
+  void StartTurn(int64_t bin) {
     Turn turn;
-    turn.service = m_other;
+    turn.service = m_candidate;
     turn.begin = bin - kConfirmBins + 1;
     turn.end = bin + 1;
     if (!m_turns.empty() && !m_is_paused) {
       m_turns.back().end = turn.begin;
-      m_turns.back().is_closed = true;
+      m_turns.back().has_successor = true;
     }
     m_turns.push_back(std::move(turn));
     m_is_paused = false;
-    m_other_bins = 0;
-    m_last_seen = bin;
+    m_candidate_bins = 0;
+    m_last_dominant_bin = bin;
   }
 
   std::vector<Turn> m_turns;
-  std::string m_other;       // Dominates, and has no turn yet.
-  int64_t m_other_bins = 0;  // In a row.
-  int64_t m_last_seen = 0;   // Bin in which the open turn's service dominated.
+  std::string m_candidate;          // Dominates, but its turn has not begun.
+  int64_t m_candidate_bins = 0;     // Dominated in a row.
+  int64_t m_last_dominant_bin = 0;  // Of the current turn.
   bool m_is_paused = false;
 };
 
-double SumOf(const WorkBins& bins, int64_t begin, int64_t end) {
+double SumWork(const WorkBins& bins, int64_t begin, int64_t end) {
   double sum = 0;
   for (int64_t bin = begin; bin < end; ++bin) {
     sum += WorkAt(bins, bin);
@@ -120,14 +124,14 @@
                             int64_t last) {
   TurnFinder finder;
   for (int64_t bin = 0; bin <= last; ++bin) {
-    finder.Add(DominatingAt(bins, bin), bin);
+    finder.AddBin(DominantServiceAt(bins, bin), bin);
   }
-  std::vector<Turn> turns = finder.Take();
+  std::vector<Turn> turns = finder.TakeTurns();
   std::erase_if(turns, [](const Turn& turn) {
-    return turn.is_closed && turn.end - turn.begin < kShortestBins;
+    return turn.has_successor && turn.end - turn.begin < kMinTurnBins;
   });
   for (Turn& turn : turns) {
-    turn.work = SumOf(bins.at(turn.service), turn.begin, turn.end);
+    turn.work = SumWork(bins.at(turn.service), turn.begin, turn.end);
   }
   return turns;
 }
@@ -136,7 +140,7 @@
   std::vector<int64_t> lengths;
   for (auto turn = turns.rbegin();
        turn != turns.rend() && lengths.size() < kComparedTurns; ++turn) {
-    if (turn->is_closed) {
+    if (turn->has_successor) {
       lengths.push_back(turn->end - turn->begin);
     }
   }
@@ -146,111 +150,119 @@
   }
   std::sort(lengths.begin(), lengths.end());
   const int64_t median = lengths[lengths.size() / 2];
-  const auto margin =
-      static_cast<int64_t>(std::ceil(kAlike * static_cast<double>(median)));
-  const bool is_alike =
+  const auto margin = static_cast<int64_t>(
+      std::ceil(kLengthTolerance * static_cast<double>(median)));
+  const bool are_lengths_similar =
       lengths.back() - median <= margin && median - lengths.front() <= margin;
-  m_length = is_alike ? median : 0;
+  m_length = are_lengths_similar ? median : 0;
 }
 
-void TurnForecast::LearnLevels(const std::vector<Turn>& turns) {
-  m_levels.clear();
+void TurnForecast::LearnWorkPerBin(const std::vector<Turn>& turns) {
+  m_work_per_bin.clear();
   for (const Turn& turn : turns) {
     const int64_t bins = turn.end - turn.begin;
-    if (bins >= kShortestBins) {
-      m_levels[turn.service] = turn.work / static_cast<double>(bins);
+    if (bins >= kMinTurnBins) {
+      m_work_per_bin[turn.service] = turn.work / static_cast<double>(bins);
     }
   }
 }
 
-// One that has not had a turn yet is taken to ask as much as the others do.
-double TurnForecast::LevelOf(const std::string& service) const {
-  const auto found = m_levels.find(service);
-  if (found != m_levels.end()) {
+// The work per bin during a turn of a service; for one that has not had a turn
+// yet, the mean of the others.
+double TurnForecast::WorkPerBinOf(const std::string& service) const {
+  const auto found = m_work_per_bin.find(service);
+  if (found != m_work_per_bin.end()) {
     return found->second;
   }
   double sum = 0;
-  for (const auto& [other, level] : m_levels) {
-    sum += level;
+  for (const auto& [other, work_per_bin] : m_work_per_bin) {
+    sum += work_per_bin;
   }
-  return m_levels.empty() ? 0 : sum / static_cast<double>(m_levels.size());
+  return m_work_per_bin.empty()
+             ? 0
+             : sum / static_cast<double>(m_work_per_bin.size());
 }
 
-// Whoever followed last time, as far as that came true before; else those that
-// have not had their turn; else who waits longest.
-std::vector<TurnForecast::Follower> TurnForecast::FindFollowers(
+// Predicts the successor of the last turn: the service that followed the same
+// one before; else any of those that have not had a turn, with equal
+// probability; else the one with the earliest turn. None if too few earlier
+// predictions came true; else all probabilities are scaled by the share that
+// did.
+std::vector<TurnForecast::Successor> TurnForecast::FindSuccessors(
     const std::vector<Turn>& turns,
     const std::map<std::string, WorkBins>& bins) const {
-  std::map<std::string, std::string> followed_by;
-  int foreseen = 0;
-  int came = 0;
+  std::map<std::string, std::string> successor_of;
+  int predictions = 0;
+  int hits = 0;
   for (size_t i = 0; i + 1 < turns.size(); ++i) {
-    const auto known = followed_by.find(turns[i].service);
-    if (known != followed_by.end()) {
-      ++foreseen;
-      came += known->second == turns[i + 1].service ? 1 : 0;
+    const auto known = successor_of.find(turns[i].service);
+    if (known != successor_of.end()) {
+      ++predictions;
+      hits += known->second == turns[i + 1].service ? 1 : 0;
     }
-    followed_by[turns[i].service] = turns[i + 1].service;
+    successor_of[turns[i].service] = turns[i + 1].service;
   }
-  const double trust =
-      foreseen == 0 ? 1.0
-                    : static_cast<double>(came) / static_cast<double>(foreseen);
-  if (trust < kLeastTrust) {
+  const double hit_rate =
+      predictions == 0
+          ? 1.0
+          : static_cast<double>(hits) / static_cast<double>(predictions);
+  if (hit_rate < kMinHitRate) {
     return {};
   }
-  const auto known = followed_by.find(turns.back().service);
-  if (known != followed_by.end()) {
-    return {{known->second, trust}};
+  const auto known = successor_of.find(turns.back().service);
+  if (known != successor_of.end()) {
+    return {{known->second, hit_rate}};
   }
-  std::set<std::string> without;
+  std::set<std::string> without_turn;
   for (const auto& [service, work] : bins) {
-    without.insert(service);
+    without_turn.insert(service);
   }
   for (const Turn& turn : turns) {
-    without.erase(turn.service);
+    without_turn.erase(turn.service);
   }
-  if (without.empty()) {
-    return {{turns.front().service, trust}};
+  if (without_turn.empty()) {
+    return {{turns.front().service, hit_rate}};
   }
-  std::vector<Follower> followers;
-  followers.reserve(without.size());
-  for (const std::string& service : without) {
-    followers.push_back({service, trust / static_cast<double>(without.size())});
+  std::vector<Successor> successors;
+  successors.reserve(without_turn.size());
+  for (const std::string& service : without_turn) {
+    successors.push_back(
+        {service, hit_rate / static_cast<double>(without_turn.size())});
   }
-  return followers;
+  return successors;
 }
 
 void TurnForecast::Learn(const std::map<std::string, WorkBins>& bins,
                          int64_t last) {
   m_length = 0;
-  m_followers.clear();
+  m_successors.clear();
   const std::vector<Turn> turns = FindTurns(bins, last);
   if (turns.empty()) {
     return;
   }
   LearnLength(turns);
-  LearnLevels(turns);
+  LearnWorkPerBin(turns);
   const Turn& current = turns.back();
-  const auto overdue =
-      static_cast<int64_t>(kOverdue * static_cast<double>(m_length));
-  const bool is_under_way = last < current.end + kConfirmBins;
-  if (m_length == 0 || !is_under_way ||
-      last - current.begin > m_length + overdue) {
+  const auto max_overrun =
+      static_cast<int64_t>(kMaxOverrun * static_cast<double>(m_length));
+  const bool is_ongoing = last < current.end + kConfirmBins;
+  if (m_length == 0 || !is_ongoing ||
+      last - current.begin > m_length + max_overrun) {
     m_length = 0;
     return;
   }
   m_current = current.service;
   m_next_begin = current.begin + m_length;
-  m_followers = FindFollowers(turns, bins);
+  m_successors = FindSuccessors(turns, bins);
 }
 
 double TurnForecast::Expected(const std::string& service, int64_t bin) const {
   if (m_length == 0 || bin < m_next_begin || bin >= m_next_begin + m_length) {
     return 0;
   }
-  for (const Follower& follower : m_followers) {
-    if (follower.service == service) {
-      return follower.chance * LevelOf(service);
+  for (const Successor& successor : m_successors) {
+    if (successor.service == service) {
+      return successor.probability * WorkPerBinOf(service);
     }
   }
   return 0;
--- a/packages/scheduling/tests/answer_time_test.cc
+++ b/packages/scheduling/tests/answer_time_test.cc
@@ -5,9 +5,10 @@
 namespace laurelhall::scheduling {
 namespace {
 
-// Workers that leave one order in twenty unanswered: with a fixed time of 450
-// ms a step of eight tasks waited for half a second in a third of all cases.
-TEST_CASE("AnswerTime, answers within milliseconds, gives up soon") {
+// Guards against a fixed timeout of 450 ms: if workers leave one order in
+// twenty unanswered, a step of eight tasks then waits for half a second in a
+// third of all cases.
+TEST_CASE("AnswerTime, answers within milliseconds, short timeout") {
   AnswerTime time;
   CHECK(time.Timeout() == Millis(337));
   for (int answer = 0; answer < 60; ++answer) {
@@ -16,7 +17,7 @@
   CHECK(time.Timeout() == Millis(120));
 }
 
-TEST_CASE("AnswerTime, answers grow slow, waits longer, within its bound") {
+TEST_CASE("AnswerTime, answers become slow, longer timeout within its bound") {
   AnswerTime time;
   for (int answer = 0; answer < 60; ++answer) {
     time.Observe(Millis(answer % 2 == 0 ? 40 : 120));
--- a/packages/scheduling/tests/planner_test.cc
+++ b/packages/scheduling/tests/planner_test.cc
@@ -31,14 +31,14 @@
     info.labels = {"a", rack};
     info.capacity = {4'000, 8'000, 0};
     ledger.Apply(WorkerSeen{info});
-    outlooks[id] = {true, false};
+    statuses[id] = {true, false};
   }
 
   void Accept(const std::string& id, const StepSpec& step) {
     JobSpec spec;
     spec.steps = {step};
     ledger.Apply(JobAccepted{id, "quotes", "teklif", WallTime(), spec});
-    seen_at[id] = now;
+    first_seen_at[id] = now;
   }
 
   static StepSpec Step(uint32_t count) {
@@ -50,12 +50,12 @@
   }
 
   std::vector<RunStarted> Plan() {
-    const auto outlook_of = [this](const Worker& worker) {
-      ++asked;
-      const auto found = outlooks.find(worker.info.id);
-      return found == outlooks.end() ? WorkerOutlook() : found->second;
+    const auto status_of = [this](const Worker& worker) {
+      ++status_queries;
+      const auto found = statuses.find(worker.info.id);
+      return found == statuses.end() ? WorkerOutlook() : found->second;
     };
-    return planner.Plan({ledger, now, WallTime(), outlook_of, seen_at});
+    return planner.Plan({ledger, now, WallTime(), status_of, first_seen_at});
   }
 
   void Commit(const std::vector<RunStarted>& starts) {
@@ -67,10 +67,10 @@
 
   Ledger ledger;
   Planner planner;
-  std::map<std::string, WorkerOutlook> outlooks;
-  std::unordered_map<std::string, SteadyTime> seen_at;
+  std::map<std::string, WorkerOutlook> statuses;
+  std::unordered_map<std::string, SteadyTime> first_seen_at;
   SteadyTime now{hours(1)};
-  int asked = 0;  // Outlooks of workers.
+  int status_queries = 0;  // Calls for a worker's status.
 };
 
 TEST_CASE_FIXTURE(PlannerFixture,
@@ -90,19 +90,20 @@
 }
 
 TEST_CASE_FIXTURE(PlannerFixture,
-                  "Planner, workers without room, are not asked after") {
+                  "Planner, workers without room, status is not queried") {
   AddWorker("w1");
   AddWorker("w2");
   Accept("first", Step(8));
   Commit(Plan());
   Accept("second", Step(2));
-  asked = 0;
+  status_queries = 0;
   CHECK(Plan().empty());
-  CHECK(asked == 0);
+  CHECK(status_queries == 0);
 }
 
-TEST_CASE_FIXTURE(PlannerFixture,
-                  "Planner, workers that come, go or drain, are followed") {
+TEST_CASE_FIXTURE(
+    PlannerFixture,
+    "Planner, workers added, gone or draining, plans for the rest") {
   AddWorker("w1");
   Accept("j", Step(12));
   Commit(Plan());
@@ -115,17 +116,17 @@
   }
   CHECK(Plan().empty());
   AddWorker("w3");
-  WorkerInfo leaving = ledger.FindWorker("w3")->info;
-  leaving.is_draining = true;
-  ledger.Apply(WorkerSeen{leaving});
+  WorkerInfo draining = ledger.FindWorker("w3")->info;
+  draining.is_draining = true;
+  ledger.Apply(WorkerSeen{draining});
   CHECK(Plan().empty());
 }
 
-// Failed before planned starts counted: the third task of a step came onto a
-// worker while the first two were being committed.
+// Guards against counting only committed starts: a third task of a step was put
+// on a worker while the starts of the first two were being committed.
 TEST_CASE_FIXTURE(
     PlannerFixture,
-    "Planner, spread limit and starts under way, keeps the limit") {
+    "Planner, spread limit and uncommitted starts, keeps the limit") {
   AddWorker("w1");
   StepSpec step = Step(2);
   step.spread_limit = 2;
@@ -136,7 +137,7 @@
 }
 
 TEST_CASE_FIXTURE(PlannerFixture,
-                  "Planner, last attempt, not where it failed") {
+                  "Planner, last attempt, avoids the worker it failed on") {
   AddWorker("w1");
   AddWorker("w2");
   Accept("j", Step(1));
@@ -145,11 +146,11 @@
   Commit(first);
   ledger.Apply(
       RunEnded{first[0].task, 1, first[0].worker, RunEnd::kFailed, {}});
-  // The other one has no room: it waits.
+  // The other worker is not usable, so the task needs a third one.
   const std::string other = first[0].worker == "w1" ? "w2" : "w1";
-  outlooks[other].is_usable = false;
+  statuses[other].is_usable = false;
   AddWorker("w3");
-  outlooks["w3"].is_usable = true;
+  statuses["w3"].is_usable = true;
   const auto second = Plan();
   REQUIRE(second.size() == 1);
   CHECK(second[0].worker == "w3");
@@ -171,8 +172,9 @@
   }
 }
 
-TEST_CASE_FIXTURE(PlannerFixture,
-                  "Planner, data on one rack, waits for it a while") {
+TEST_CASE_FIXTURE(
+    PlannerFixture,
+    "Planner, data on another rack, waits a while for that rack") {
   AddWorker("w1", "r1");
   StepSpec step = Step(1);
   step.data_rack = "r2";
@@ -182,11 +184,12 @@
   CHECK(Plan().size() == 1);
 }
 
-TEST_CASE_FIXTURE(PlannerFixture,
-                  "Planner, hopeless and timely work, timely goes first") {
+TEST_CASE_FIXTURE(
+    PlannerFixture,
+    "Planner, hopeless work and work on time, the latter goes first") {
   AddWorker("w1");
   Accept("old", Step(4));
-  seen_at["old"] = now - Millis(10'000);
+  first_seen_at["old"] = now - Millis(10'000);
   Accept("new", Step(4));
   const auto starts = Plan();
   REQUIRE(starts.size() == 4);
@@ -194,7 +197,7 @@
 }
 
 TEST_CASE_FIXTURE(PlannerFixture,
-                  "Planner, persistent tasks, gather on few workers") {
+                  "Planner, persistent tasks, are packed onto few workers") {
   for (const char* id : {"w1", "w2", "w3", "w4"}) {
     AddWorker(id);
   }
@@ -212,10 +215,10 @@
   CHECK(with == 2);
 }
 
-// Failed first: each task went to the emptiest worker, so that no host was free
-// to move when another service needed it.
+// Guards against spreading short tasks: if each goes to the emptiest worker, no
+// host is free to move when another service needs it.
 TEST_CASE_FIXTURE(PlannerFixture,
-                  "Planner, short tasks come one by one, share a worker") {
+                  "Planner, short tasks one after another, share a worker") {
   for (const char* id : {"w1", "w2", "w3"}) {
     AddWorker(id);
   }
@@ -231,21 +234,22 @@
 TEST_CASE_FIXTURE(PlannerFixture,
                   "Planner, short task, goes beside a persistent one") {
   AddWorker("w1");
-  outlooks["w1"].is_usable = false;
+  statuses["w1"].is_usable = false;
   AddWorker("w2");
   StepSpec persistent = Step(1);
   persistent.is_persistent = true;
   Accept("long", persistent);
   Commit(Plan());
-  outlooks["w1"].is_usable = true;
+  statuses["w1"].is_usable = true;
   Accept("short", Step(2));
   Commit(Plan());
   CHECK(ledger.FindWorker("w1")->active.empty());
   CHECK(ledger.FindWorker("w2")->active.size() == 3);
 }
 
-TEST_CASE_FIXTURE(PlannerFixture,
-                  "Planner, job turned down, waits before the next start") {
+TEST_CASE_FIXTURE(
+    PlannerFixture,
+    "Planner, job deferred, is not started before the given time") {
   AddWorker("w1");
   Accept("j", Step(1));
   planner.Defer("j", now + Millis(100));
@@ -254,9 +258,10 @@
   CHECK(Plan().size() == 1);
 }
 
-// Failed first: what the same plan had put there did not count.
+// Guards against counting only running persistent tasks, not those that the
+// same plan has put on a worker.
 TEST_CASE_FIXTURE(PlannerFixture,
-                  "Planner, persistent tasks of one plan, gather too") {
+                  "Planner, persistent tasks of one plan, are packed as well") {
   for (const char* id : {"w1", "w2", "w3", "w4"}) {
     AddWorker(id);
   }
@@ -273,20 +278,18 @@
   CHECK(used.size() == 2);
 }
 
-TEST_CASE(
-    "WorkerClock, slow clock, lease counts as running until surely over") {
+TEST_CASE("WorkerClock, slow clock, lease counts as held until surely lapsed") {
   const SteadyTime start{hours(1)};
   WorkerClock clock(Millis(6'000), start);
   CHECK_FALSE(clock.HasSurelyLapsed(start + Millis(6'500)));
   clock.Observe(WorkerTime(100'000), start);
   clock.Extend(start);
-  // At two hundredths slow, six seconds there are 6.122 here.
+  // On a clock that is 2 % slow, 6 s take 6.122 s.
   CHECK_FALSE(clock.HasSurelyLapsed(start + Millis(6'122)));
   CHECK(clock.HasSurelyLapsed(start + Millis(6'300)));
 }
 
-TEST_CASE(
-    "WorkerClock, never reached, earlier leader's leases are waited for") {
+TEST_CASE("WorkerClock, never reached, waits for the earlier leader's leases") {
   const SteadyTime start{hours(1)};
   const WorkerClock clock(Millis(6'000), start);
   CHECK_FALSE(clock.HasSurelyLapsed(start + Millis(7'200)));
@@ -295,8 +298,8 @@
 
 class DemandFixture {
  protected:
-  // Two services take turns of two seconds, `turns` of them.
-  void Play(int turns) {
+  // Adds `turns` turns of two seconds, in which `a` and `b` alternate.
+  void AddTurns(int turns) {
     for (int turn = 0; turn < turns; ++turn) {
       for (int step = 0; step < 20; ++step) {
         now += Millis(100);
@@ -306,7 +309,7 @@
     meter.Learn(now);
   }
 
-  // Turns are looked at by themselves, in turns_test.cc.
+  // Turns have their own tests in turns_test.cc.
   static MechanismSet WithoutTurns() {
     MechanismSet mechanisms;
     mechanisms.SwitchOff(Mechanism::kTurns);
@@ -318,22 +321,22 @@
 };
 
 TEST_CASE_FIXTURE(DemandFixture,
-                  "DemandMeter, turns came again, expects the next") {
-  Play(6);
+                  "DemandMeter, turns repeat, expects the next") {
+  AddTurns(6);
   CHECK(meter.period() == Millis(4'000));
   CHECK(meter.Expected("a", now, Millis(1'000)) > 5);
   CHECK(meter.Expected("b", now, Millis(1'000)) < 5);
 }
 
-TEST_CASE_FIXTURE(DemandFixture, "DemandMeter, first turns, knows no pattern") {
-  Play(2);
+TEST_CASE_FIXTURE(DemandFixture,
+                  "DemandMeter, first turns, recognises no period") {
+  AddTurns(2);
   CHECK(meter.period() == Millis(0));
   CHECK(meter.Expected("a", now, Millis(1'000)) == 0);
 }
 
-TEST_CASE_FIXTURE(DemandFixture,
-                  "DemandMeter, work in the last moments, rate in cores") {
-  Play(1);
+TEST_CASE_FIXTURE(DemandFixture, "DemandMeter, recent work, rate in cores") {
+  AddTurns(1);
   CHECK(meter.Rate("a", now) == doctest::Approx(10).epsilon(0.2));
   CHECK(meter.Rate("b", now) == 0);
 }
@@ -377,7 +380,8 @@
   }
 }
 
-TEST_CASE_FIXTURE(PoolsFixture, "Moves, donor at its least, keeps it") {
+TEST_CASE_FIXTURE(PoolsFixture,
+                  "Moves, donor at its minimum, keeps its hosts") {
   AddHosts("a", 3);
   AddHosts("b", 5);
   pools[0].needed_cores = 500;
@@ -385,7 +389,7 @@
 }
 
 TEST_CASE_FIXTURE(PoolsFixture,
-                  "Moves, hosts idle for longer than any pattern, parked") {
+                  "Moves, hosts idle for longer than any period, parked") {
   AddHosts("a", 8);
   AddHosts("b", 8);
   for (PoolHost& host : hosts) {
@@ -400,10 +404,11 @@
   CHECK(Plan().empty());
 }
 
-// Two services rush by turns, here between two rushes: neither needs its hosts
-// now, but one or the other did a moment ago.
-TEST_CASE_FIXTURE(PoolsFixture,
-                  "Moves, what all needed lately is held, whoever needed it") {
+// Two services that rush in turns, between two rushes: neither needs its hosts
+// now, but one of them did a moment ago.
+TEST_CASE_FIXTURE(
+    PoolsFixture,
+    "Moves, hosts idle but cores needed lately, keeps those cores") {
   AddHosts("a", 8);
   AddHosts("b", 8);
   for (PoolHost& host : hosts) {
@@ -413,10 +418,11 @@
   CHECK(Plan().size() == 4);
 }
 
-// The rush of `b` is foreseen and that of `a` is under way: `b` gets what is
-// idle elsewhere and nothing of what `a` needs.
-TEST_CASE_FIXTURE(PoolsFixture,
-                  "Moves, rush foreseen, takes only what nobody needs now") {
+// The rush of `b` is expected and that of `a` is under way: `b` gets idle hosts
+// of `c` and none that `a` needs.
+TEST_CASE_FIXTURE(
+    PoolsFixture,
+    "Moves, rush expected, takes only hosts that nobody needs now") {
   AddHosts("a", 10);
   AddHosts("b", 3);
   AddHosts("c", 6);
@@ -431,7 +437,7 @@
   }
 }
 
-TEST_CASE_FIXTURE(PoolsFixture, "Moves, pinned hosts or fresh ones, stay") {
+TEST_CASE_FIXTURE(PoolsFixture, "Moves, hosts pinned or moved lately, stay") {
   AddHosts("a", 3);
   AddHosts("b", 6, false);
   pools[0].needed_cores = 500;
@@ -443,23 +449,24 @@
   CHECK(Plan().empty());
 }
 
-// Failed first: a service was left with fewer hosts than its persistent tasks
-// must stand on.
+// Guards against leaving a service with fewer hosts than its persistent tasks
+// must be spread over.
 TEST_CASE_FIXTURE(
     PoolsFixture,
     "Moves, persistent tasks need more hosts, gets and keeps them") {
   AddHosts("a", 3);
   AddHosts("b", 9);
   weights.may_park = false;
-  pools[0].least_hosts = 5;
+  pools[0].min_hosts = 5;
   CHECK(Plan().size() == 2);
-  pools[0].least_hosts = 0;
+  pools[0].min_hosts = 0;
   pools[0].needed_cores = 500;
-  pools[1].least_hosts = 8;
+  pools[1].min_hosts = 8;
   CHECK(Plan().size() == 1);
 }
 
-TEST_CASE_FIXTURE(PoolsFixture, "Moves, two services short alike, hosts stay") {
+TEST_CASE_FIXTURE(PoolsFixture,
+                  "Moves, two services equally short, hosts stay") {
   AddHosts("a", 6);
   AddHosts("b", 6);
   pools[0].needed_cores = 200;
@@ -467,9 +474,9 @@
   CHECK(Plan().empty());
 }
 
-// A rush that asks for several times what a service holds. Each plan used to
-// weigh every waiting step against every worker, so that a start became dearer
-// the more waited, and the backlog kept itself alive.
+// A rush of several times the capacity of a service. Guards against plans that
+// compare every waiting step with every worker: each start then costs more the
+// more steps wait, and the backlog sustains itself.
 class PlannerRushFixture : public PlannerFixture {
  protected:
   PlannerRushFixture() {
@@ -490,15 +497,16 @@
 
 TEST_CASE_FIXTURE(
     PlannerRushFixture,
-    "Planner, rush over a full service, what waits is not weighed "
-    "against each worker") {
+    "Planner, rush on a full service, waiting steps are not compared "
+    "with each worker") {
   CHECK(Plan().empty());
-  // Once for each size that is smaller than those before it.
+  // All workers are compared only once for each size that is smaller than those
+  // before it.
   CHECK(planner.cost().places <= 10 * kWorkers);
 }
 
 TEST_CASE_FIXTURE(PlannerRushFixture,
-                  "Planner, rush and some room, starts at the cost of the "
+                  "Planner, rush and some room, cost is proportional to the "
                   "starts") {
   const Worker& worker = *ledger.FindWorker("w0");
   const std::set<TaskId> running = worker.active;
@@ -510,10 +518,11 @@
   CHECK(planner.cost().places <= (starts + 10) * kWorkers);
 }
 
-// What is remembered of one step's size holds for others of its kind alone.
+// A step that found no room for another reason than its size must not keep
+// other steps from starting.
 TEST_CASE_FIXTURE(
     PlannerFixture,
-    "Planner, step that lacks a label before others, these start") {
+    "Planner, step without a matching label before others, these start") {
   AddWorker("w0");
   StepSpec labelled = Step(1);
   labelled.required_label = "b";
@@ -533,7 +542,7 @@
   CHECK(Plan().size() == 2);
 }
 
-// Two organisations, of which "capped" may have two processors at work.
+// Two organisations, of which "capped" may use two processors at a time.
 class OrganisationPlanFixture : public PlannerFixture {
  protected:
   OrganisationPlanFixture() { SetCap(2'000); }
@@ -555,7 +564,7 @@
     spec.steps = {step};
     ledger.Apply(JobTaken{
         {id, "quotes", "teklif", WallTime(), spec}, organisation, is_excess});
-    seen_at[id] = now;
+    first_seen_at[id] = now;
   }
 
   static size_t CountOf(const std::vector<RunStarted>& starts,
@@ -567,13 +576,13 @@
 };
 
 TEST_CASE_FIXTURE(OrganisationPlanFixture,
-                  "Planner, step wider than the cap, goes in waves") {
+                  "Planner, step larger than the cap, runs a part at a time") {
   AddWorker("w1");
   AddWorker("w2");
   AcceptFor("capped", "j", Step(5));
   std::vector<RunStarted> starts = Plan();
   CHECK(starts.size() == 2);
-  CHECK(Plan().empty());  // Planned and not committed counts, too.
+  CHECK(Plan().empty());  // Uncommitted starts count as well.
   Commit(starts);
   CHECK(Plan().empty());
   ledger.Apply(RunEnded{starts.front().task, 1, starts.front().worker,
@@ -582,7 +591,7 @@
 }
 
 TEST_CASE_FIXTURE(OrganisationPlanFixture,
-                  "Planner, one organisation at its cap, blocks nobody else") {
+                  "Planner, one organisation at its cap, blocks no other") {
   AddWorker("w1");
   AcceptFor("capped", "first", Step(8));
   now += Millis(10);
@@ -612,10 +621,10 @@
   CHECK(Plan().size() == 2);
 }
 
-// A rush of one organisation beyond its rate: it came first, and the job that
-// was promised goes before it.
+// One organisation's excess work beyond its rate arrives first, but the
+// promised work of another goes before it.
 TEST_CASE_FIXTURE(OrganisationPlanFixture,
-                  "Planner, excess before a promised job, waits behind it") {
+                  "Planner, excess job before a promised one, goes after it") {
   AddWorker("w1");
   AcceptFor("free", "rush", Step(4), true);
   now += Millis(50);
