--- a/packages/scheduling/include/laurelhall/scheduling/demand.h
+++ b/packages/scheduling/include/laurelhall/scheduling/demand.h
@@ -41,8 +41,8 @@
   /// times a second.
   void Learn(SteadyTime now);
 
-  /// The length of a service's turn in a rush; zero while no turns are
-  /// recognised.
+  /// The length of a turn, in which one service has its rush; zero while no
+  /// turns are recognised.
   Millis turn_length() const;
 
   /// The period after which arrivals repeat; zero while none is recognised.
@@ -56,8 +56,8 @@
 
   MechanismSet m_mechanisms;
   std::optional<SteadyTime> m_first_bin_at;
-  std::map<std::string, WorkBins>
-      m_bins_of;  // By service, bin 0 at m_first_bin_at.
+  // By service; bin 0 begins at m_first_bin_at.
+  std::map<std::string, WorkBins> m_bins_of;
   TurnForecast m_turn_forecast;
   Millis m_period{0};
 };
--- a/packages/scheduling/include/laurelhall/scheduling/planner.h
+++ b/packages/scheduling/include/laurelhall/scheduling/planner.h
@@ -87,8 +87,8 @@
 /// Decides which tasks start on which workers.
 ///
 /// @remarks Has no side effects beyond its own state; not thread-safe. Keeps a
-///   reservation for each planned start until Settled() is called for it, so
-///   that no task is planned twice while its start is being committed.
+///   reservation for each planned start until the caller releases it, so that
+///   no task is planned twice while its start is being committed.
 class Planner {
  public:
   explicit Planner(const MechanismSet& mechanisms = {})
@@ -104,7 +104,7 @@
   /// will never be.
   void Settled(const RunStarted& start);
 
-  /// Whether a start on a worker is planned and not settled yet. A commit takes
+  /// Whether the reservation of a start on a worker is held. A commit takes
   /// longer while the leader is short of processor time.
   bool HasPlanned(const std::string& worker) const;
 
@@ -171,7 +171,7 @@
   std::pair<const Ledger*, uint64_t> m_workers_source{nullptr, 0};
   std::unordered_map<std::string, std::vector<const Worker*>> m_workers_of;
 
-  /// The worker of each task whose start is planned and not settled.
+  /// The worker of each task with a reservation.
   std::map<TaskId, std::string> m_reserved_worker;
   /// How many of a job's tasks are in m_reserved_worker.
   std::unordered_map<std::string, uint32_t> m_reserved_tasks;
@@ -185,7 +185,7 @@
   std::map<std::pair<TaskId, uint32_t>, Reservation> m_reservations;  // By run.
   /// What planned starts will take of each organisation's cap.
   std::unordered_map<std::string, Resources> m_reserved_of_cap;
-  /// Suspects whose start is planned and not settled, by worker.
+  /// Suspects with a reservation, by worker.
   std::map<std::string, std::set<TaskId>> m_reserved_suspects;
 
   /// Workers that take no tasks but suspects, so that they become empty for
--- a/packages/scheduling/include/laurelhall/scheduling/pools.h
+++ b/packages/scheduling/include/laurelhall/scheduling/pools.h
@@ -60,8 +60,8 @@
   bool may_park = true;
 };
 
-/// Chooses hosts to move to the services that need them, and hosts that no
-/// service needs to park in the spare pool.
+/// Chooses hosts to move to the services that need them, and hosts to park in
+/// the spare pool because no service needs them.
 ///
 /// @remarks Pure and thread-safe. Gives one host at a time to the service with
 ///   the lowest coverage (cores held per core needed), from the spare pool if
--- a/packages/scheduling/include/laurelhall/scheduling/turns.h
+++ b/packages/scheduling/include/laurelhall/scheduling/turns.h
@@ -29,8 +29,7 @@
 /// Forecasts the rushes of services that take turns: when the current turn
 /// ends, and which services are likely to have the next one.
 ///
-/// @remarks Has no side effects beyond its own state; not thread-safe. Meant
-/// for
+/// @remarks Has no side effects beyond its own state; not thread-safe. Serves
 ///   loads in which one service at a time gets several times its mean work
 ///   while the others get little. A host needs two to three seconds from the
 ///   decision to move until its first task there, which is half of a short
@@ -40,10 +39,10 @@
 class TurnForecast {
  public:
   /// Recomputes the forecast from the work that arrived up to bin `last`.
-  void Learn(const std::map<std::string, WorkBins>& bins, int64_t last);
+  void Recompute(const std::map<std::string, WorkBins>& bins, int64_t last);
 
   /// The work expected for a service in a future bin, in core-milliseconds.
-  double Expected(const std::string& service, int64_t bin) const;
+  double ExpectedWork(const std::string& service, int64_t bin) const;
 
   /// The length of a turn in bins; zero while there is no forecast.
   int64_t length() const { return m_length; }
--- a/packages/scheduling/src/demand.cc
+++ b/packages/scheduling/src/demand.cc
@@ -89,7 +89,7 @@
     return 0;
   }
   const double turn_demand =
-      m_turn_forecast.Expected(service, BinIndexAt(now + ahead)) /
+      m_turn_forecast.ExpectedWork(service, BinIndexAt(now + ahead)) /
       static_cast<double>(kBin.count());
   const int64_t bin = BinIndexAt(now + ahead - m_period);
   if (m_period == Millis(0) || bin < 0) {
@@ -143,7 +143,7 @@
   // The last full bin; the one after it is still being filled.
   const int64_t last = BinIndexAt(now) - 1;
   if (m_mechanisms.Has(Mechanism::kTurns)) {
-    m_turn_forecast.Learn(m_bins_of, last);
+    m_turn_forecast.Recompute(m_bins_of, last);
   }
   if (m_mechanisms.Has(Mechanism::kPeriod)) {
     LearnPeriod(last);
--- a/packages/scheduling/src/planner.cc
+++ b/packages/scheduling/src/planner.cc
@@ -92,11 +92,11 @@
 // Visits, in order, the steps that are due, not done, and wait for no other
 // step, until a visit returns false.
 template <typename Visit>
-void VisitOpenSteps(const Job& job, WallTime wall, Visit visit) {
+void VisitOpenSteps(const Job& job, WallTime wall_now, Visit visit) {
   for (uint32_t occurrence = 0; occurrence < job.spec.occurrences;
        ++occurrence) {
     const WallTime due = job.spec.first_due + job.spec.interval * occurrence;
-    if (job.spec.is_timed && wall < due) {
+    if (job.spec.is_timed && wall_now < due) {
       return;
     }
     const size_t base = occurrence * job.spec.steps.size();
@@ -184,6 +184,8 @@
     }
   }
 
+  /// Assigns as many of the step's tasks as can start to workers, and appends
+  /// their starts to `out`.
   void PlaceStep(const Candidate& candidate, std::vector<RunStarted>& out) {
     const StepSpec& step = candidate.job->spec.steps[candidate.step];
     auto places = m_places_of.find(m_input.ledger.ServiceOf(*candidate.job));
@@ -206,7 +208,7 @@
       if (IsOverCap(*candidate.job, step)) {
         return;
       }
-      Place* place = Find(candidate, step, index, places->second, {});
+      Place* place = FindPlace(candidate, step, index, places->second, {});
       if (place == nullptr && IsSuspect(candidate, index)) {
         continue;  // Other tasks of the step may not need an empty worker.
       }
@@ -353,7 +355,7 @@
       std::vector<Place> trial = places;
       std::vector<RunStarted> starts;
       for (const uint32_t index : tasks) {
-        Place* place = Find(candidate, step, index, trial, *rack);
+        Place* place = FindPlace(candidate, step, index, trial, *rack);
         if (place == nullptr) {
           break;
         }
@@ -413,13 +415,16 @@
   // Whether a worker may run other tasks beside the one that is placed.
   enum class Sharing { kAllowed, kForbidden };
 
-  Place* Find(const Candidate& candidate,
-              const StepSpec& step,
-              uint32_t index,
-              std::vector<Place>& places,
-              const std::string& only_rack) {
+  // The best place for a task, with the rules for suspects; null if there is
+  // none, or if the task is to wait for an empty worker.
+  Place* FindPlace(const Candidate& candidate,
+                   const StepSpec& step,
+                   uint32_t index,
+                   std::vector<Place>& places,
+                   const std::string& only_rack) {
     const auto find = [&](Sharing sharing) {
-      return FindAmong(candidate, step, index, places, only_rack, sharing);
+      return FindCheapestPlace(candidate, step, index, places, only_rack,
+                               sharing);
     };
     if (!IsSuspect(candidate, index)) {
       return find(Sharing::kAllowed);
@@ -452,10 +457,11 @@
   // An isolated suspect accepts no other suspects beside it either.
   bool IsFreeForSuspect(Place& place, bool is_isolated) const {
     const Worker& worker = *place.worker;
-    const size_t tried = is_isolated ? 0 : worker.suspects.size();
-    const bool is_apart =
-        worker.active.size() <= worker.persistent_runs + tried;
-    return is_apart && HasNoPlannedTask(place) && !HasNewSuspect(place) &&
+    const size_t allowed_suspects = is_isolated ? 0 : worker.suspects.size();
+    const bool has_no_other_tasks =
+        worker.active.size() <= worker.persistent_runs + allowed_suspects;
+    return has_no_other_tasks && HasNoPlannedTask(place) &&
+           !HasNewSuspect(place) &&
            (worker.active.empty() || StatusOf(place).is_settled);
   }
 
@@ -531,16 +537,16 @@
       const bool is_free = was_cordoned(place) ||
                            (!place.has_persistent && !HasNewSuspect(place) &&
                             !StatusOf(place).is_quarantined);
-      const bool may_empty = is_free &&
-                             !cordoned.contains(place.worker->info.id) &&
-                             Fits(RoomOf(step), place.worker->info.capacity) &&
-                             StatusOf(place).is_usable;
+      const bool may_become_empty =
+          is_free && !cordoned.contains(place.worker->info.id) &&
+          Fits(RoomOf(step), place.worker->info.capacity) &&
+          StatusOf(place).is_usable;
       const auto cost = [&](const Place& of) {
         return std::tuple(!was_cordoned(of), of.worker->persistent_runs,
                           of.worker->active.size());
       };
       const bool is_better =
-          may_empty && (best == nullptr || cost(place) < cost(*best));
+          may_become_empty && (best == nullptr || cost(place) < cost(*best));
       best = is_better ? &place : best;
     }
     if (best != nullptr) {
@@ -549,7 +555,8 @@
     return !cordoned.empty();
   }
 
-  // Whether a suspect's start on a worker is planned and not settled.
+  // Whether a suspect has a reservation on a worker, or this plan puts one
+  // there.
   bool HasNewSuspect(const Place& place) const {
     return place.has_suspect ||
            (!m_planner.m_reserved_suspects.empty() &&
@@ -565,12 +572,13 @@
     return found == cordoned.end() ? none : found->second;
   }
 
-  Place* FindAmong(const Candidate& candidate,
-                   const StepSpec& step,
-                   uint32_t index,
-                   std::vector<Place>& places,
-                   const std::string& only_rack,
-                   Sharing sharing) const {
+  // The place of lowest cost that may take a task; null if there is none.
+  Place* FindCheapestPlace(const Candidate& candidate,
+                           const StepSpec& step,
+                           uint32_t index,
+                           std::vector<Place>& places,
+                           const std::string& only_rack,
+                           Sharing sharing) const {
     const TaskId id{candidate.job->id, candidate.occurrence, candidate.step,
                     index};
     const Task& task = TaskOf(candidate, index);
@@ -590,7 +598,7 @@
         m_planner.m_mechanisms.Has(Mechanism::kDataWait) &&
         m_input.now - candidate.waiting_since <
             kDataRackWaitFactor * step.estimate;
-    const bool gathers = m_planner.m_mechanisms.Has(Mechanism::kGathering);
+    const bool packs_tasks = m_planner.m_mechanisms.Has(Mechanism::kGathering);
     const Resources room = RoomOf(step);
     const bool is_last_attempt = IsLastAttempt(candidate, task);
     if (is_last_attempt) {
@@ -602,27 +610,27 @@
     m_planner.m_cost.places += places.size();
     for (Place& place : places) {
       const WorkerInfo& info = place.worker->info;
-      const bool is_far =
+      const bool is_other_rack =
           !step.data_rack.empty() && info.rack != step.data_rack;
       if (!Fits(room, place.room) || !MatchesLabel(info, step.required_label) ||
           (!only_rack.empty() && info.rack != only_rack) ||
-          (is_far && waits_for_data) ||
+          (is_other_rack && waits_for_data) ||
           (is_alone ? !IsFreeForSuspect(place, is_isolated) : is_held(place))) {
         continue;
       }
-      double cost = is_far ? kOtherRackCost : 0;
+      double cost = is_other_rack ? kOtherRackCost : 0;
       cost += task.failed_on == info.id ? kFailedHereCost : 0;
       // Tasks are packed onto few hosts, first those with persistent tasks, so
       // that the others can move as soon as another service needs them.
       const bool has_persistent =
           place.worker->persistent_runs > 0 || place.has_persistent;
       // A suspect on an empty worker keeps away from persistent tasks instead.
-      const double gather =
+      const double packing_cost =
           is_alone ? kPersistentTasksCost : -kPersistentTasksCost;
-      cost += gathers && has_persistent ? gather : 0;
+      cost += packs_tasks && has_persistent ? packing_cost : 0;
       const double used =
           1 - Share(place.room.millicores, info.capacity.millicores);
-      cost += step.is_persistent || !gathers ? used : -used;
+      cost += step.is_persistent || !packs_tasks ? used : -used;
       // The checks below are more expensive and only raise the cost.
       if (cost >= best_cost || place.worker->active.contains(id)) {
         continue;
--- a/packages/scheduling/src/turns.cc
+++ b/packages/scheduling/src/turns.cc
@@ -232,8 +232,8 @@
   return successors;
 }
 
-void TurnForecast::Learn(const std::map<std::string, WorkBins>& bins,
-                         int64_t last) {
+void TurnForecast::Recompute(const std::map<std::string, WorkBins>& bins,
+                             int64_t last) {
   m_length = 0;
   m_successors.clear();
   const std::vector<Turn> turns = FindTurns(bins, last);
@@ -256,7 +256,8 @@
   m_successors = FindSuccessors(turns, bins);
 }
 
-double TurnForecast::Expected(const std::string& service, int64_t bin) const {
+double TurnForecast::ExpectedWork(const std::string& service,
+                                  int64_t bin) const {
   if (m_length == 0 || bin < m_next_begin || bin >= m_next_begin + m_length) {
     return 0;
   }
--- a/packages/scheduling/tests/planner_test.cc
+++ b/packages/scheduling/tests/planner_test.cc
@@ -505,9 +505,9 @@
   CHECK(planner.cost().places <= 10 * kWorkers);
 }
 
-TEST_CASE_FIXTURE(PlannerRushFixture,
-                  "Planner, rush and some room, cost is proportional to the "
-                  "starts") {
+TEST_CASE_FIXTURE(
+    PlannerRushFixture,
+    "Planner, rush and some room, cost is bounded by the starts") {
   const Worker& worker = *ledger.FindWorker("w0");
   const std::set<TaskId> running = worker.active;
   for (const TaskId& task : running) {
--- a/packages/scheduling/tests/turns_test.cc
+++ b/packages/scheduling/tests/turns_test.cc
@@ -32,7 +32,7 @@
         work.push_back(RandomWork(service == rushing ? kRushWork : kIdleWork));
       }
     }
-    forecast.Learn(bins, Last());
+    forecast.Recompute(bins, Last());
   }
 
   int64_t Last() const { return static_cast<int64_t>(bins.at("a").size()) - 1; }
@@ -40,7 +40,7 @@
   double ExpectedOfAll(int64_t bin) const {
     double sum = 0;
     for (const auto& [service, work] : bins) {
-      sum += forecast.Expected(service, bin);
+      sum += forecast.ExpectedWork(service, bin);
     }
     return sum;
   }
@@ -58,9 +58,9 @@
   AddTurn("b", kTurnBins - 6);
   const int64_t soon = Last() + 10;
   CHECK(forecast.length() >= kTurnBins - 2);
-  CHECK(forecast.Expected("c", soon) > 0.3 * kRushWork);
-  CHECK(forecast.Expected("d", soon) > 0.3 * kRushWork);
-  CHECK(forecast.Expected("a", soon) == 0);
+  CHECK(forecast.ExpectedWork("c", soon) > 0.3 * kRushWork);
+  CHECK(forecast.ExpectedWork("d", soon) > 0.3 * kRushWork);
+  CHECK(forecast.ExpectedWork("a", soon) == 0);
   // Before the turn ends, no other service is expected to rush.
   CHECK(ExpectedOfAll(Last() + 2) == 0);
 }
@@ -70,7 +70,7 @@
   AddTurn("a", kTurnBins);
   AddTurn("b", kTurnBins);
   AddTurn("c", kTurnBins - 6);
-  CHECK(forecast.Expected("d", Last() + 8) > 0.6 * kRushWork);
+  CHECK(forecast.ExpectedWork("d", Last() + 8) > 0.6 * kRushWork);
 }
 
 TEST_CASE_FIXTURE(TurnsFixture,
@@ -79,8 +79,8 @@
     AddTurn(service, kTurnBins);
   }
   AddTurn("a", kTurnBins - 6);
-  CHECK(forecast.Expected("b", Last() + 8) > 0.6 * kRushWork);
-  CHECK(forecast.Expected("c", Last() + 8) == 0);
+  CHECK(forecast.ExpectedWork("b", Last() + 8) > 0.6 * kRushWork);
+  CHECK(forecast.ExpectedWork("c", Last() + 8) == 0);
 }
 
 TEST_CASE_FIXTURE(TurnsFixture, "Turns, random order, expects nothing") {
@@ -115,7 +115,7 @@
     }
   }
   CHECK(FindTurns(bins, Last()).empty());
-  forecast.Learn(bins, Last());
+  forecast.Recompute(bins, Last());
   CHECK(ExpectedOfAll(Last() + 4) == 0);
 }
 
