--- a/packages/dispatch/include/laurelhall/dispatch/ports.h
+++ b/packages/dispatch/include/laurelhall/dispatch/ports.h
@@ -8,33 +8,35 @@
 #include "laurelhall/scheduling/graph.h"
 #include "laurelhall/scheduling/worker_clock.h"
 
-// What the scheduling asks of the world. The calls are made elsewhere.
+// Interfaces through which the scheduler calls workers and the host platform.
+// They are implemented outside of this package.
 namespace laurelhall::dispatch {
 
-/// What is known of a call after it.
+/// Outcome of a call to a worker. With kFenced, kLate, kNoRoom, kNoTicket,
+/// kRefused and kNotReached, nothing was done.
 enum class CallOutcome {
   kDone,
-  kFenced,      ///< A newer leader has given orders there: nothing was done.
-  kOldRun,      ///< That run, or a later one, was stopped or ended there.
-  kLate,        ///< The lease asked for is over: nothing was done.
-  kNoRoom,      ///< Nothing was done.
-  kNoTicket,    ///< The worker may not run it: nothing was done.
-  kOtherLife,   ///< Another life answers at the address: this one is over.
-  kRefused,     ///< Malformed, or the worker is unhealthy: nothing was done.
+  kFenced,      ///< The worker has taken orders from a newer leader.
+  kOldRun,      ///< This run, or a later one, was stopped or ended there.
+  kLate,        ///< The requested lease end has passed.
+  kNoRoom,      ///< The worker has too little free capacity.
+  kNoTicket,    ///< The worker is not permitted to run the task.
+  kOtherLife,   ///< Another incarnation answers there; the addressed one ended.
+  kRefused,     ///< The order is malformed, or the worker is unhealthy.
   kNotReached,  ///< No connection: nothing was sent.
-  kUnknown,     ///< Sent, not answered; may be carried out later, too.
+  kUnknown,     ///< Sent but not answered; may still be carried out later.
   kCount,
 };
 
-/// A lower-case word for logs. Thread-safe.
+/// The outcome in lower case, for logs. Thread-safe.
 const char* CallOutcomeName(CallOutcome outcome);
 
-/// The fence of an order is its leader's term and, below it, the number of the
-/// worker's life in that term: what was ordered of an earlier life, and is
-/// carried out late, is refused by the later one.
+/// Low bits of a fence: the number of the worker's incarnation within the term.
+/// The leader's term is in the bits above. With it, a later incarnation refuses
+/// an order that was meant for an earlier one and arrives late.
 constexpr int kFenceLifeBits = 16;
 
-/// Which worker is meant.
+/// Identifies a worker and tells how to connect to it.
 struct WorkerAddress {
   std::string id;
   std::string address;
@@ -49,7 +51,7 @@
   std::string checkpoint;
   scheduling::WorkerTime lease_end{0};
   uint64_t fence = 0;
-  Millis timeout{450};  ///< For an answer, from its turn on.
+  Millis timeout{450};  ///< For the answer; time spent queued does not count.
 };
 
 struct StopOrder {
@@ -57,45 +59,47 @@
   scheduling::TaskId task;
   uint32_t run = 0;
   uint64_t fence = 0;
-  Millis timeout{450};  ///< For an answer, from its turn on.
+  Millis timeout{450};  ///< For the answer; time spent queued does not count.
 };
 
+/// Sets the speed of a run, in percent of full speed.
 struct PaceOrder {
   WorkerAddress worker;
   scheduling::TaskId task;
   uint32_t run = 0;
   uint32_t percent = 100;
   uint64_t fence = 0;
-  Millis timeout{450};  ///< For an answer, from its turn on.
+  Millis timeout{450};  ///< For the answer; time spent queued does not count.
 };
 
+/// Extends a worker's lease and polls it for its running and ended runs.
 struct HoldOrder {
   WorkerAddress worker;
-  std::optional<scheduling::WorkerTime> lease_end;  ///< None: just look.
+  std::optional<scheduling::WorkerTime> lease_end;  ///< None: only poll.
   uint64_t fence = 0;
-  uint64_t ends_seen = 0;  ///< Ends up to here are committed.
-  Millis wait{0};          ///< For an end to come.
-  Millis timeout{600};     ///< For the answer, `wait` included.
+  uint64_t ends_seen = 0;  ///< Ended runs up to this number are committed.
+  Millis wait{0};          ///< How long the worker may wait for a run to end.
+  Millis timeout{600};     ///< For the answer, including `wait`.
 };
 
 struct CallReply {
   CallOutcome outcome = CallOutcome::kUnknown;
-  std::optional<scheduling::WorkerTime> clock;
-  Millis took{0};  ///< From its turn until the answer.
+  std::optional<scheduling::WorkerTime> clock;  ///< The worker's, if told.
+  Millis took{0};  ///< Until the answer, without time spent queued.
 };
 
-/// A run as its worker lists it.
+/// A run that its worker lists as running.
 struct RunningRun {
   scheduling::TaskId task;
   uint32_t run = 0;
   std::string checkpoint;
-  uint32_t percent = 0;  ///< Of a persistent task: 100 is at work.
-  /// Tail in milliseconds of a task that serves, else processors in use.
+  uint32_t percent = 0;  ///< Progress of a persistent task; 100: in service.
+  /// Tail latency in milliseconds of a serving task, else processors in use.
   int64_t figure = 0;
 };
 
 struct EndedRun {
-  uint64_t number = 0;  ///< In the order of the worker's life.
+  uint64_t number = 0;  ///< Ascending within the worker's incarnation.
   scheduling::TaskId task;
   uint32_t run = 0;
   scheduling::RunEnd end = scheduling::RunEnd::kCount;
@@ -105,15 +109,16 @@
 struct HoldReply {
   CallOutcome outcome = CallOutcome::kUnknown;
   std::optional<scheduling::WorkerTime> clock;
-  WallTime born{};  ///< When the life that answers began; zero: not told.
+  WallTime born{};  ///< Start of the answering incarnation; zero: not told.
   std::vector<RunningRun> running;
   std::vector<EndedRun> ended;
 };
 
 /// Calls to workers.
 ///
-/// @remarks Used on one thread; each callback comes once, later, on it. Orders
-///   to one worker may overtake each other, looks are made one by one.
+/// @remarks Used on one thread; each callback is called on it once, after the
+///   call has returned. Orders to one worker may overtake each other; hold
+///   requests to it are made one at a time.
 class WorkerPort {
  public:
   virtual ~WorkerPort() = default;
@@ -127,59 +132,61 @@
   virtual void Forget(const WorkerAddress& worker) = 0;
 };
 
-/// What came of an act on a host.
+/// Outcome of an act (a maintenance or a move) on a host.
 enum class HostActOutcome {
-  kDone,     ///< Also when it was done before.
-  kBusy,     ///< Not up now.
-  kRefused,  ///< Never possible: no such host, or not part of it.
+  kDone,     ///< Done by this request or an earlier one.
+  kBusy,     ///< The host is not up now.
+  kRefused,  ///< Never possible: no such host, or the act does not apply.
   kFenced,
   kUnknown,  ///< May have been done.
-  kLimited,  ///< Too many acts; nothing was done.
-  kNotSent,  ///< Nothing was done: its leader was no longer sure to lead.
+  kLimited,  ///< Not done: too many acts.
+  kNotSent,  ///< Not done: the sender was no longer sure to be the leader.
   kCount,
 };
 
-/// A lower-case word for logs. Thread-safe.
+/// The outcome in lower case, for logs. Thread-safe.
 const char* HostActOutcomeName(HostActOutcome outcome);
 
+/// A maintenance or a move of one host.
 struct HostAct {
   std::string host;
-  uint64_t wave = 0;   ///< Of a maintenance.
-  std::string pool;    ///< Of a move.
-  std::string holder;  ///< Who acts.
+  uint64_t wave = 0;   ///< Only for a maintenance.
+  std::string pool;    ///< Only for a move: the target pool.
+  std::string holder;  ///< Name of the daemon that acts.
   uint64_t fence = 0;
-  /// Asked right before the act is sent, however long it waited for its turn.
+  /// Called right before the act is sent, however long it was queued; where it
+  /// returns false, the act is not sent.
   std::function<bool()> may_send;
 };
 
-/// A host as the platform lists it.
+/// A host as listed by the platform.
 struct HostInfo {
   std::string host;
   std::string pool;
-  bool is_up = false;  ///< Neither under way somewhere nor lost.
+  bool is_up = false;  ///< Neither in transition nor lost.
   scheduling::Resources capacity;
 };
 
 struct HostPage {
   bool is_ok = false;
   std::vector<HostInfo> hosts;
-  size_t unreadable = 0;  ///< Entries that were passed over.
-  std::string next;       ///< Token of the next page; empty: this was the last.
+  size_t unreadable = 0;  ///< Number of malformed entries, which were skipped.
+  std::string next;       ///< Token of the next page; empty on the last page.
 };
 
-/// Acts on hosts. As with WorkerPort.
+/// Acts on hosts. Threads and callbacks are as with WorkerPort.
 class HostPort {
  public:
   virtual ~HostPort() = default;
 
-  /// How many acts are carried out together; more of them wait their turn.
+  /// How many acts are carried out concurrently; further ones are queued.
   virtual size_t acts_at_once() const = 0;
 
   virtual void Maintain(HostAct act,
                         std::function<void(HostActOutcome)> done) = 0;
   virtual void Move(HostAct act, std::function<void(HostActOutcome)> done) = 0;
 
-  /// @param page Empty: the first.
+  /// @param page Token from HostPage::next; empty for the first page.
   virtual void List(const std::string& page,
                     std::function<void(HostPage)> done) = 0;
 };
--- a/packages/dispatch/src/leadership_p.h
+++ b/packages/dispatch/src/leadership_p.h
@@ -138,13 +138,13 @@
   bool is_lapse_under_way = false;
   bool is_lapsed = false;
   bool is_gone_under_way = false;
-  bool is_first_look = true;       ///< Nothing was planned on it yet.
-  bool is_silent = false;          ///< The last look was not answered.
-  bool is_hold_under_way = false;  ///< Or waits for its ends' commit.
+  bool is_awaiting_first_list = true;  ///< Nothing was planned on it yet.
+  bool is_silent = false;              ///< The last look was not answered.
+  bool is_hold_under_way = false;      ///< Or waits for its ends' commit.
   bool is_renewal_under_way = false;
   SteadyTime next_hold{};
   SteadyTime next_renewal{};
-  SteadyTime leased_at{};  ///< From when the lease last asked for counts.
+  SteadyTime lease_start{};  ///< Start of the last requested lease extension.
   SteadyTime last_contact{};
   SteadyTime last_listed{};  ///< When it last told what it runs.
   SteadyTime first_contact{};
@@ -411,60 +411,68 @@
   // orders.cc: calls to workers.
   void SendOrders(const Ledger& ledger);
   void SendStart(const Ledger& ledger, const RunKey& key, RunTrack& track);
-  bool HoldsBackForRoom(const scheduling::Job& job,
-                        const RunKey& key,
-                        RunTrack& track,
-                        const WorkerLink& link);
-  bool IsStillToStart(const RunKey& key, uint64_t life);
-  bool IsOverRoom(const Ledger& ledger,
-                  const scheduling::Job& job,
-                  const RunKey& key,
-                  const RunTrack& track) const;
-  bool IsOverCap(const Ledger& ledger,
-                 const scheduling::Job& job,
-                 const RunKey& key,
-                 const RunTrack& track) const;
-  void OnStarted(const RunKey& key, uint64_t life, const CallReply& reply);
+  bool DeferForUnknownCapacity(const scheduling::Job& job,
+                               const RunKey& key,
+                               RunTrack& track,
+                               const WorkerLink& link);
+  bool IsStartStillDue(const RunKey& key, uint64_t incarnation);
+  bool ExceedsWorkerCapacity(const Ledger& ledger,
+                             const scheduling::Job& job,
+                             const RunKey& key,
+                             const RunTrack& track) const;
+  bool ExceedsOrganisationCap(const Ledger& ledger,
+                              const scheduling::Job& job,
+                              const RunKey& key,
+                              const RunTrack& track) const;
+  void OnStartReply(const RunKey& key,
+                    uint64_t incarnation,
+                    const CallReply& reply);
   void OnStartRefused(const RunKey& key, RunTrack& track);
   void SendStop(const RunKey& key, RunTrack& track);
   bool IsStopStillDue(const RunKey& key);
-  void OnStopped(const RunKey& key, uint64_t life, const CallReply& reply);
+  void OnStopReply(const RunKey& key,
+                   uint64_t incarnation,
+                   const CallReply& reply);
   void SendHolds(const Ledger& ledger);
   void SendHold(const std::string& worker, WorkerLink& link, Millis wait);
-  void OnHeld(const std::string& worker,
-              uint64_t life,
-              SteadyTime asked_at,
-              const HoldReply& reply);
-  bool IsOfThisLife(const std::string& worker,
-                    WorkerLink& link,
-                    const HoldReply& reply);
-  void TakeLists(const std::string& worker,
-                 SteadyTime asked_at,
-                 const HoldReply& reply);
-  void DropOlderLives(const Ledger& ledger,
+  void OnHoldReply(const std::string& worker,
+                   uint64_t incarnation,
+                   SteadyTime asked_at,
+                   const HoldReply& reply);
+  bool CheckIncarnation(const std::string& worker,
+                        WorkerLink& link,
+                        const HoldReply& reply);
+  void ProcessRunLists(const std::string& worker,
+                       SteadyTime asked_at,
+                       const HoldReply& reply);
+  void EndOlderWorkersOnHost(const Ledger& ledger,
+                             const std::string& worker,
+                             Records& records);
+  void RecordEndedRuns(const Ledger& ledger,
+                       const std::string& worker,
+                       const HoldReply& reply,
+                       Records& records);
+  void UpdateRunningRuns(const Ledger& ledger,
+                         const std::string& worker,
+                         const HoldReply& reply);
+  void EndMissingRuns(const Ledger& ledger,
                       const std::string& worker,
+                      SteadyTime asked_at,
+                      const HoldReply& reply,
                       Records& records);
-  void TakeEnds(const Ledger& ledger,
-                const std::string& worker,
-                const HoldReply& reply,
-                Records& records);
-  void TakeRunning(const Ledger& ledger,
-                   const std::string& worker,
-                   const HoldReply& reply);
-  void FindMissing(const Ledger& ledger,
-                   const std::string& worker,
-                   SteadyTime asked_at,
-                   const HoldReply& reply,
-                   Records& records);
-  void Pace(const Ledger& ledger, WorkerLink& link, const HoldReply& reply);
+  void PaceFillingTasks(const Ledger& ledger,
+                        WorkerLink& link,
+                        const HoldReply& reply);
   void SendPace(const PaceOrder& order);
-  void Weigh(const Ledger& ledger,
-             WorkerLink& link,
-             const EndedRun& ended,
-             const RunTrack* track);
-  void CommitEnds(const std::string& worker, uint64_t seen, Records records);
-  void EndLife(const WorkerLife& life, const char* why);
-  void EndAnswering(const std::string& worker);
+  void LearnFromEndedRun(const Ledger& ledger,
+                         WorkerLink& link,
+                         const EndedRun& ended,
+                         const RunTrack* track);
+  void CommitEndedRuns(const std::string& worker,
+                       uint64_t last_end,
+                       Records records);
+  void EndLife(const WorkerLife& incarnation, const char* why);
+  void EndReplacedIncarnation(const std::string& worker);
 
   // crashes.cc: workers that end.
   void EndWorker(const Ledger& ledger,
@@ -523,17 +531,18 @@
   bool IsQuarantined(const Ledger& ledger,
                      const scheduling::Worker& worker) const;
   bool IsSettled(const Ledger& ledger, const scheduling::Worker& worker) const;
-  HoldOrder MakeHold(WorkerLink& link, Millis wait);
-  bool MayLease(const WorkerLink& link) const;
-  bool IsLeaseDue(const WorkerLink& link) const;
-  bool IsRenewalDue(const WorkerLink& link) const;
+  HoldOrder MakeHoldOrder(WorkerLink& link, Millis wait);
+  bool MayExtendLease(const WorkerLink& link) const;
+  bool IsLeaseExtensionDue(const WorkerLink& link) const;
+  bool IsSeparateRenewalDue(const WorkerLink& link) const;
   void RenewLease(const std::string& worker, WorkerLink& link);
-  void OnLeaseRenewed(const std::string& worker,
-                      uint64_t life,
-                      const HoldReply& reply);
-  void Contact(WorkerLink& link, std::optional<scheduling::WorkerTime> clock);
-  /// Whether this thread is short of processor time: its ticks come late.
-  bool IsBehind() const { return m_tick_lag > kBehind; }
+  void OnLeaseRenewalReply(const std::string& worker,
+                           uint64_t incarnation,
+                           const HoldReply& reply);
+  void RecordContact(WorkerLink& link,
+                     std::optional<scheduling::WorkerTime> clock);
+  /// Whether this thread is short of processor time, so that ticks come late.
+  bool IsTickLagHigh() const { return m_tick_lag > kHighTickLag; }
   Millis OrderTimeout() const { return m_order_time.Timeout() + OwnDelay(); }
   void LearnAnswerTime(const CallReply& reply) {
     if (reply.outcome < CallOutcome::kNotReached) {
@@ -658,9 +667,10 @@
   SteadyTime m_next_stops{};
   SteadyTime m_next_sight{};
   DispatchSight m_sight;  // As the last lines told it.
-  // Above this lag of a tick the leader does fewer, larger things: a third of
-  // the time between ticks. A look then brings the ends of 60 ms, not of one.
-  static constexpr Millis kBehind{15};
+  // Above this tick lag, a third of the time between ticks, the leader makes
+  // fewer and larger calls: a hold request then collects the runs that ended
+  // within 60 ms instead of a single one.
+  static constexpr Millis kHighTickLag{15};
   // Two rounds of the longest that a fifth of a core was seen to have, 0.35 s.
   static constexpr Millis kMostOwnDelay{700};
 
--- a/packages/dispatch/src/orders.cc
+++ b/packages/dispatch/src/orders.cc
@@ -13,38 +13,44 @@
 
 namespace {
 
-// How long a look waits for an end. The longest that workers grant, so that an
-// idle worker costs half a look a second.
-constexpr Millis kIdleWait{2'000};
-constexpr Millis kBusyWait{1'000};
-// Where filling tasks run beside serving ones, a change is seen in time for
-// the pacing; what a figure covers. A suspect's worker is soon free again.
-constexpr Millis kPacingWait{500};
-// Between two looks at one worker: ends that come together share one.
-constexpr Millis kHoldGap{60};
-constexpr Millis kHoldRetry{200};
-// A lease is renewed by itself when this share of it is over.
-constexpr int kRenewalShare = 3;
-// Orders to a worker that crashed fail before it can have begun anew, run what
-// came late and ended it; a busy leader may take as long from list to look.
-constexpr Millis kSameLife{4'000};
-// How long an answer to a look may take beyond what it waits for.
-constexpr Millis kHoldMargin{600};
-constexpr Millis kOrderRetry{100};
-// How long a start waits for its worker to tell of its room, before its task is
-// planned elsewhere.
-constexpr Millis kRoomPatience{2'000};
-// After an order was not answered, the worker gets no new work for so long.
-// An answer to another call shows before that it lives: where a few orders of
-// each worker are left unanswered, all would be without work most of the time.
-constexpr Millis kSuspect{800};
-// After it turned an order down: about the time of one short task.
-constexpr Millis kRefusedPause{300};
-constexpr Millis kNoTicketPause{2'000};
-// Failures of so many different jobs, with none done between, put the blame on
-// the worker.
-constexpr size_t kDoubtfulFailures = 3;
-constexpr Millis kDoubtful{6'000};
+// How long a hold request to an idle worker waits for a run to end. The longest
+// wait that workers allow, so that an idle worker costs half a request a
+// second.
+constexpr Millis kIdleHoldWait{2'000};
+constexpr Millis kBusyHoldWait{1'000};
+// On a worker that is paced: the pacer sees each change in time, since a
+// reported load covers half a second. On a worker that tests crash suspects: it
+// is soon free again.
+constexpr Millis kPacedHoldWait{500};
+// Between two hold requests to one worker, so that runs that end at about the
+// same time are reported together.
+constexpr Millis kHoldInterval{60};
+constexpr Millis kHoldRetryDelay{200};
+// A lease is renewed once a third of it has passed.
+constexpr int kLeaseRenewalDivisor = 3;
+// A worker that last listed its runs within this time is taken to be the same
+// incarnation. After a crash, orders fail before the worker can have restarted,
+// carried out a late order and ended its run. A busy leader may take as long
+// from one list to the next hold request.
+constexpr Millis kSameIncarnationTime{4'000};
+// How long an answer to a hold request may take beyond the requested wait.
+constexpr Millis kHoldAnswerMargin{600};
+constexpr Millis kOrderRetryDelay{100};
+// How long a start waits for its worker to report its capacity before its task
+// is planned elsewhere.
+constexpr Millis kCapacityReportTimeout{2'000};
+// How long a worker gets no new work after it left an order unanswered. An
+// answer to any other call ends this early: otherwise, where every worker
+// leaves a few orders unanswered, all would be without work most of the time.
+constexpr Millis kSuspectTime{800};
+// How long a worker gets no new work after it refused a start: about the run
+// time of one short task.
+constexpr Millis kRefusalPause{300};
+constexpr Millis kNoTicketDelay{2'000};
+// A worker is doubtful once tasks of this many different jobs have failed there
+// with no task done in between.
+constexpr size_t kDoubtfulFailedJobs = 3;
+constexpr Millis kDoubtfulTime{6'000};
 
 const Task* FindTask(const scheduling::Ledger& ledger,
                      const scheduling::TaskId& id,
@@ -63,14 +69,16 @@
                      });
 }
 
-// The numbers first: they tell most tasks of a list apart.
+// Compares the numbers first, which differ for most tasks of a list.
 bool IsSameTask(const scheduling::TaskId& a, const scheduling::TaskId& b) {
   return a.index == b.index && a.step == b.step &&
          a.occurrence == b.occurrence && a.job == b.job;
 }
 
 template <typename Rows>
-bool Lists(const Rows& rows, const scheduling::TaskId& task, uint32_t run) {
+bool ContainsRun(const Rows& rows,
+                 const scheduling::TaskId& task,
+                 uint32_t run) {
   return std::any_of(rows.begin(), rows.end(), [&](const auto& row) {
     return row.run == run && IsSameTask(row.task, task);
   });
@@ -100,7 +108,7 @@
 void Leadership::SendStart(const Ledger& ledger,
                            const RunKey& key,
                            RunTrack& track) {
-  // Its lease may have lapsed since: it may run elsewhere by now.
+  // The worker's lease may have lapsed, so the task may run elsewhere by now.
   if (!ledger.IsActive(key.task, key.run, track.worker)) {
     track.start = StartStage::kSettled;
     track.settled_at = Now();
@@ -111,14 +119,14 @@
   if (link == m_links.end() || job == nullptr || link->second.is_silent ||
       link->second.is_lapse_under_way || !link->second.clock.is_known()) {
     track.start = StartStage::kRetry;
-    track.next_try = Now() + kOrderRetry;
+    track.next_try = Now() + kOrderRetryDelay;
     return;
   }
-  if (HoldsBackForRoom(*job, key, track, link->second)) {
+  if (DeferForUnknownCapacity(*job, key, track, link->second)) {
     return;
   }
-  if (IsOverRoom(ledger, *job, key, track) ||
-      IsOverCap(ledger, *job, key, track)) {
+  if (ExceedsWorkerCapacity(ledger, *job, key, track) ||
+      ExceedsOrganisationCap(ledger, *job, key, track)) {
     OnStartRefused(key, track);
     return;
   }
@@ -132,31 +140,35 @@
   order.fence = FenceOf(link->second);
   order.timeout = OrderTimeout();
   ++m_counters.starts;
-  const uint64_t life = link->second.number;
-  const auto send = [this, key, life, order]() mutable {
+  const uint64_t incarnation = link->second.number;
+  const auto send = [this, key, incarnation, order]() mutable {
     order.lease_end = m_links.at(order.worker.id).clock.Extend(SureAt());
-    m_init.workers->Start(std::move(order), [weak = weak_from_this(), key,
-                                             life](const CallReply& reply) {
-      if (const auto self = weak.lock()) {
-        self->LearnAnswerTime(reply);
-        self->OnStarted(key, life, reply);
-      }
-    });
+    m_init.workers->Start(
+        std::move(order),
+        [weak = weak_from_this(), key, incarnation](const CallReply& reply) {
+          if (const auto self = weak.lock()) {
+            self->LearnAnswerTime(reply);
+            self->OnStartReply(key, incarnation, reply);
+          }
+        });
   };
-  WhenSure(send, [this, key, life] { return IsStillToStart(key, life); });
+  WhenSure(send, [this, key, incarnation] {
+    return IsStartStillDue(key, incarnation);
+  });
 }
 
-// Asked when the order leaves, which may be seconds after it was due: its run
-// may be over by then and its task run elsewhere, or its job be cancelled. What
-// is still to run is looked at anew with the next tick.
-bool Leadership::IsStillToStart(const RunKey& key, uint64_t life) {
+// Called when a delayed start is about to be sent, which may be seconds after
+// it was due: by then its run may be over, its task may run elsewhere, or its
+// job may be cancelled. A start that is no longer due is checked again at the
+// next tick.
+bool Leadership::IsStartStillDue(const RunKey& key, uint64_t incarnation) {
   const auto found = m_runs.find(key);
   if (found == m_runs.end() || found->second.start != StartStage::kSending) {
     return false;
   }
   RunTrack& track = found->second;
   const auto link = m_links.find(track.worker);
-  bool is_due = link != m_links.end() && link->second.number == life &&
+  bool is_due = link != m_links.end() && link->second.number == incarnation &&
                 !link->second.is_silent && !link->second.is_lapse_under_way &&
                 !track.is_stop_wanted;
   m_log.Read([&](const Ledger& ledger) {
@@ -171,32 +183,34 @@
   return is_due;
 }
 
-// Whether a start has to wait, or is given up, since its worker has not told of
-// its room lately. One that is there already takes nothing more.
-bool Leadership::HoldsBackForRoom(const Job& job,
-                                  const RunKey& key,
-                                  RunTrack& track,
-                                  const WorkerLink& link) {
+// Whether a start is deferred, or given up after kCapacityReportTimeout, since
+// its worker has not reported its capacity lately. A run that the worker
+// already lists takes no further capacity.
+bool Leadership::DeferForUnknownCapacity(const Job& job,
+                                         const RunKey& key,
+                                         RunTrack& track,
+                                         const WorkerLink& link) {
   const bool takes_room = scheduling::RoomOf(job.spec.steps[key.task.step]) !=
                           scheduling::Resources();
   if (track.is_listed || !takes_room || IsRoomHeard(link)) {
     return false;
   }
-  if (Now() - std::max(m_rooms_since, link.first_contact) > kRoomPatience) {
+  if (Now() - std::max(m_rooms_since, link.first_contact) >
+      kCapacityReportTimeout) {
     OnStartRefused(key, track);
     return true;
   }
   track.start = StartStage::kRetry;
-  track.next_try = Now() + kOrderRetry;
+  track.next_try = Now() + kOrderRetryDelay;
   return true;
 }
 
-// Whether the worker's room has shrunk since the start was planned, so that it
-// would have more than it can take.
-bool Leadership::IsOverRoom(const Ledger& ledger,
-                            const Job& job,
-                            const RunKey& key,
-                            const RunTrack& track) const {
+// Whether the worker's capacity has shrunk since the start was planned, so that
+// its runs no longer fit.
+bool Leadership::ExceedsWorkerCapacity(const Ledger& ledger,
+                                       const Job& job,
+                                       const RunKey& key,
+                                       const RunTrack& track) const {
   const Worker* worker = ledger.FindWorker(track.worker);
   const scheduling::Resources need =
       scheduling::RoomOf(job.spec.steps[key.task.step]);
@@ -205,33 +219,34 @@
          !scheduling::Fits(worker->used, worker->info.capacity);
 }
 
-// Whether the organisation's cap was lowered since the start was planned. Such
-// runs may be on their way for seconds.
-bool Leadership::IsOverCap(const Ledger& ledger,
-                           const Job& job,
-                           const RunKey& key,
-                           const RunTrack& track) const {
+// Whether the organisation's cap was lowered since the start was planned and
+// would now be exceeded. A planned start may take seconds to be sent.
+bool Leadership::ExceedsOrganisationCap(const Ledger& ledger,
+                                        const Job& job,
+                                        const RunKey& key,
+                                        const RunTrack& track) const {
   if (job.organisation.empty() || track.is_listed ||
       m_init.mutations.is_cap_planned_only) {
     return false;
   }
   const scheduling::Resources& need = job.spec.steps[key.task.step].need;
-  scheduling::Resources own;
-  scheduling::Subtract(own, need);  // It counts as at work already.
-  return !ledger.IsWithinCapOf(job.organisation, own, need);
+  scheduling::Resources adjustment;
+  // The ledger already counts this run.
+  scheduling::Subtract(adjustment, need);
+  return !ledger.IsWithinCapOf(job.organisation, adjustment, need);
 }
 
-void Leadership::OnStarted(const RunKey& key,
-                           uint64_t life,
-                           const CallReply& reply) {
+void Leadership::OnStartReply(const RunKey& key,
+                              uint64_t incarnation,
+                              const CallReply& reply) {
   const auto found = m_runs.find(key);
   if (found == m_runs.end()) {
     return;
   }
   RunTrack& track = found->second;
   const auto link = m_links.find(track.worker);
-  if (link != m_links.end() && link->second.number != life) {
-    return;  // Meant for an earlier life; the lists of this one decide.
+  if (link != m_links.end() && link->second.number != incarnation) {
+    return;  // For an earlier incarnation; the lists of this one decide.
   }
   if (reply.outcome != CallOutcome::kDone) {
     DecisionLog::Get().Write(
@@ -243,7 +258,7 @@
             .With("outcome", CallOutcomeName(reply.outcome)));
   }
   if (link != m_links.end() && reply.outcome < CallOutcome::kOtherLife) {
-    Contact(link->second, reply.clock);
+    RecordContact(link->second, reply.clock);
   }
   switch (reply.outcome) {
     case CallOutcome::kDone:
@@ -254,57 +269,59 @@
       track.work_since = Now();
       break;
     case CallOutcome::kOtherLife:
-      EndAnswering(track.worker);
+      EndReplacedIncarnation(track.worker);
       break;
     case CallOutcome::kFenced:
-      break;  // A later leader goes on from what is committed.
+      break;  // A later leader continues from the committed state.
     case CallOutcome::kUnknown:
       ++m_counters.unknown_calls;
       track.may_be_on_its_way = true;
-      // Listed: it is there. Stopped: it is barred, what was sent is void.
+      // A listed run has started. A run whose stop was taken is barred there,
+      // so a start that arrives late has no effect.
       if (!track.is_listed && !track.is_stop_taken) {
         track.start = StartStage::kRetry;
-        track.next_try = Now() + kOrderRetry;
+        track.next_try = Now() + kOrderRetryDelay;
       }
       if (link != m_links.end()) {
-        link->second.suspect_until = Now() + kSuspect;
+        link->second.suspect_until = Now() + kSuspectTime;
       }
       break;
     case CallOutcome::kNotReached:
       if (link != m_links.end()) {
-        link->second.suspect_until = Now() + kSuspect;
+        link->second.suspect_until = Now() + kSuspectTime;
       }
       if (track.may_be_on_its_way && !m_init.mutations.is_barring_skipped) {
-        // Says nothing about the order before: the repeat is repeated, unless
-        // the run is there, or a stop that was taken meanwhile bars it.
+        // Says nothing about the earlier order, so the start is repeated unless
+        // the run is listed or barred by a stop that was taken meanwhile.
         const bool is_settled = track.is_listed || track.is_stop_taken;
         track.start = is_settled ? StartStage::kSettled : StartStage::kRetry;
-        track.next_try = Now() + kOrderRetry;
+        track.next_try = Now() + kOrderRetryDelay;
       } else {
         OnStartRefused(key, track);
       }
       break;
     case CallOutcome::kNoTicket:
-      // It may run on some workers only, and which is not known: no other one
-      // is tried at once.
-      m_planner.Defer(key.task.job, Now() + kNoTicketPause);
+      // Which workers may run the job is unknown, so the job is deferred rather
+      // than tried on another worker at once.
+      m_planner.Defer(key.task.job, Now() + kNoTicketDelay);
       OnStartRefused(key, track);
       break;
     default:
-      // It has less room than it said, or is not well: others first.
+      // The worker has less capacity than reported, or is unhealthy: others are
+      // preferred.
       if (link != m_links.end()) {
-        link->second.paused_until = Now() + kRefusedPause;
+        link->second.paused_until = Now() + kRefusalPause;
       }
       OnStartRefused(key, track);
       break;
   }
 }
 
-// This order was surely not carried out. An earlier one of the same run that
-// was not answered still may be, until the worker has taken a stop for it.
+// This start was certainly not carried out. An earlier unanswered start of the
+// same run still may be, until the worker has taken a stop for it.
 void Leadership::OnStartRefused(const RunKey& key, RunTrack& track) {
   if (track.is_listed) {
-    return;  // It runs: only this repeat was turned down.
+    return;  // The run has started; only the repeated start was refused.
   }
   if (track.may_be_on_its_way && !m_init.mutations.is_barring_skipped) {
     track.start = StartStage::kBarring;
@@ -334,23 +351,24 @@
   ++m_counters.stops;
   const StopOrder order{link->second.address, key.task, key.run,
                         FenceOf(link->second), OrderTimeout()};
-  const auto send = [this, key, order, life = link->second.number] {
-    m_init.workers->Stop(
-        order, [weak = weak_from_this(), key, life](const CallReply& reply) {
-          if (const auto self = weak.lock()) {
-            self->LearnAnswerTime(reply);
-            self->OnStopped(key, life, reply);
-          }
-        });
+  const auto send = [this, key, order, incarnation = link->second.number] {
+    m_init.workers->Stop(order, [weak = weak_from_this(), key,
+                                 incarnation](const CallReply& reply) {
+      if (const auto self = weak.lock()) {
+        self->LearnAnswerTime(reply);
+        self->OnStopReply(key, incarnation, reply);
+      }
+    });
   };
   WhenSure(send, [this, key] { return IsStopStillDue(key); });
 }
 
-// A stop that waited for a quorum's word may leave seconds after it was due.
+// A stop that waited for a quorum to confirm the leader may be sent seconds
+// after it was due.
 bool Leadership::IsStopStillDue(const RunKey& key) {
   const auto found = m_runs.find(key);
   if (found == m_runs.end()) {
-    return false;  // Its run is over.
+    return false;  // The run is over.
   }
   RunTrack& track = found->second;
   m_log.Read([&](const Ledger& ledger) {
@@ -359,123 +377,129 @@
   return track.is_stop_under_way;
 }
 
-void Leadership::OnStopped(const RunKey& key,
-                           uint64_t life,
-                           const CallReply& reply) {
+void Leadership::OnStopReply(const RunKey& key,
+                             uint64_t incarnation,
+                             const CallReply& reply) {
   const auto found = m_runs.find(key);
   if (found == m_runs.end()) {
     return;
   }
   RunTrack& track = found->second;
   const auto link = m_links.find(track.worker);
-  if (link != m_links.end() && link->second.number != life) {
-    return;  // Meant for an earlier life.
+  if (link != m_links.end() && link->second.number != incarnation) {
+    return;  // For an earlier incarnation.
   }
   track.is_stop_under_way = false;
   if (link != m_links.end() && reply.outcome < CallOutcome::kOtherLife) {
-    Contact(link->second, reply.clock);
+    RecordContact(link->second, reply.clock);
   }
   if (reply.outcome == CallOutcome::kDone ||
       reply.outcome == CallOutcome::kOldRun) {
     track.is_stop_taken = true;
-    // From here on the worker lists it as ended, or never had it.
+    // From now on the worker lists the run as ended, or never had it.
     track.start = StartStage::kSettled;
     track.settled_at = Now();
   } else if (reply.outcome == CallOutcome::kOtherLife) {
-    EndAnswering(track.worker);
+    EndReplacedIncarnation(track.worker);
   } else {
-    track.next_try = Now() + kOrderRetry;
+    track.next_try = Now() + kOrderRetryDelay;
   }
 }
 
-// --- Looks ------------------------------------------------------------------
+// --- Hold requests ----------------------------------------------------------
 
 void Leadership::SendHolds(const Ledger& ledger) {
   const SteadyTime now = Now();
   for (auto& [id, link] : m_links) {
     const Worker* worker = ledger.FindWorker(id);
-    if (worker != nullptr && !worker->active.empty() && IsRenewalDue(link)) {
+    if (worker != nullptr && !worker->active.empty() &&
+        IsSeparateRenewalDue(link)) {
       RenewLease(id, link);
     }
     if (worker == nullptr || link.is_hold_under_way || now < link.next_hold) {
       continue;
     }
-    Millis wait = worker->active.empty() ? kIdleWait : kBusyWait;
+    Millis wait = worker->active.empty() ? kIdleHoldWait : kBusyHoldWait;
     if (!link.pacer.told.empty() || !worker->suspects.empty()) {
-      wait = kPacingWait;
+      wait = kPacedHoldWait;
     }
-    if (IsLeaseDue(link)) {
-      wait = Millis(0);  // Leadership may change while it waits.
+    if (IsLeaseExtensionDue(link)) {
+      wait = Millis(0);  // The leader may change while the request waits.
     }
     SendHold(id, link, link.is_reached ? wait : Millis(0));
   }
 }
 
-HoldOrder Leadership::MakeHold(WorkerLink& link, Millis wait) {
+HoldOrder Leadership::MakeHoldOrder(WorkerLink& link, Millis wait) {
   HoldOrder order;
   order.worker = link.address;
-  // A silent worker may take in what it does not answer: its lease can run out
-  // only once nothing asks for more of it.
-  if (MayLease(link)) {
+  // A silent worker may still act on requests that it does not answer: its
+  // lease can expire only if no request extends it.
+  if (MayExtendLease(link)) {
     order.lease_end = link.clock.Extend(SureAt());
-    link.leased_at = SureAt();
+    link.lease_start = SureAt();
   }
   order.fence = FenceOf(link);
-  // Where another life may answer, its ends must not be told as seen.
+  // A new incarnation numbers its ended runs anew: its ends must not be
+  // acknowledged by the numbers of the one before.
   const bool is_same_life =
-      !link.is_silent && Now() - link.last_listed < kSameLife;
+      !link.is_silent && Now() - link.last_listed < kSameIncarnationTime;
   order.ends_seen =
       is_same_life || m_init.mutations.is_birth_ignored ? link.ends_seen : 0;
   order.wait = wait;
-  order.timeout = wait + kHoldMargin + OwnDelay();
+  order.timeout = wait + kHoldAnswerMargin + OwnDelay();
   return order;
 }
 
-// A lease that counts from longer ago would be over.
-bool Leadership::MayLease(const WorkerLink& link) const {
+// Whether the worker's lease may be extended. Leases count from the last moment
+// at which this host was sure to lead; one of longer ago would be over already.
+bool Leadership::MayExtendLease(const WorkerLink& link) const {
   return link.clock.is_known() && !link.is_silent &&
          Now() - SureAt() < m_init.bounds.longest_lease;
 }
 
-bool Leadership::IsLeaseDue(const WorkerLink& link) const {
-  return MayLease(link) && SureAt() - link.leased_at >
-                               m_init.bounds.longest_lease / kRenewalShare;
+bool Leadership::IsLeaseExtensionDue(const WorkerLink& link) const {
+  return MayExtendLease(link) &&
+         SureAt() - link.lease_start >
+             m_init.bounds.longest_lease / kLeaseRenewalDivisor;
 }
 
-// A look that waits, or whose ends are being committed, may keep the next one
-// for seconds; the worker's lease must not run out meanwhile.
-bool Leadership::IsRenewalDue(const WorkerLink& link) const {
+// Whether the lease has to be renewed by a separate request. A hold request
+// that waits, or whose ended runs are being committed, may delay the next one
+// for seconds; the worker's lease must not expire meanwhile.
+bool Leadership::IsSeparateRenewalDue(const WorkerLink& link) const {
   return link.is_hold_under_way && !link.is_renewal_under_way &&
-         Now() >= link.next_renewal && IsLeaseDue(link);
+         Now() >= link.next_renewal && IsLeaseExtensionDue(link);
 }
 
 void Leadership::RenewLease(const std::string& worker, WorkerLink& link) {
   link.is_renewal_under_way = true;
-  link.next_renewal = Now() + kHoldRetry;
+  link.next_renewal = Now() + kHoldRetryDelay;
   ++m_counters.holds;
-  m_init.workers->Hold(MakeHold(link, Millis(0)),
+  m_init.workers->Hold(MakeHoldOrder(link, Millis(0)),
                        [weak = weak_from_this(), worker,
-                        life = link.number](const HoldReply& reply) {
+                        incarnation = link.number](const HoldReply& reply) {
                          if (const auto self = weak.lock()) {
-                           self->OnLeaseRenewed(worker, life, reply);
+                           self->OnLeaseRenewalReply(worker, incarnation,
+                                                     reply);
                          }
                        });
 }
 
-// What it lists is left to the look that is under way.
-void Leadership::OnLeaseRenewed(const std::string& worker,
-                                uint64_t life,
-                                const HoldReply& reply) {
+// Ignores the lists in the reply: the hold request in flight handles them.
+void Leadership::OnLeaseRenewalReply(const std::string& worker,
+                                     uint64_t incarnation,
+                                     const HoldReply& reply) {
   const auto found = m_links.find(worker);
-  if (found == m_links.end() || found->second.number != life) {
+  if (found == m_links.end() || found->second.number != incarnation) {
     return;
   }
   WorkerLink& link = found->second;
   link.is_renewal_under_way = false;
   if (reply.outcome == CallOutcome::kOtherLife) {
-    EndAnswering(worker);
+    EndReplacedIncarnation(worker);
   } else if (reply.outcome == CallOutcome::kDone && reply.born == link.born) {
-    Contact(link, reply.clock);
+    RecordContact(link, reply.clock);
   }
 }
 
@@ -483,23 +507,24 @@
                           WorkerLink& link,
                           Millis wait) {
   link.is_hold_under_way = true;
-  HoldOrder order = MakeHold(link, wait);
+  HoldOrder order = MakeHoldOrder(link, wait);
   ++m_counters.holds;
-  // Not held back while this host is not sure to lead: where a quorum's word is
-  // slow, all leases would run out. A worker that knows a later leader refuses
-  // it, the ends that it tells as seen are committed, and its lease is none
-  // that the next leader does not count on.
-  m_init.workers->Hold(std::move(order),
-                       [weak = weak_from_this(), worker, life = link.number,
-                        asked_at = Now()](const HoldReply& reply) {
-                         if (const auto self = weak.lock()) {
-                           self->OnHeld(worker, life, asked_at, reply);
-                         }
-                       });
+  // Sent even while this host is not sure to lead: otherwise all leases would
+  // expire whenever a quorum is slow to confirm it. This is safe: a worker that
+  // knows a later leader refuses the request, the ends that it acknowledges are
+  // committed, and the next leader allows for the lease that it grants.
+  m_init.workers->Hold(
+      std::move(order),
+      [weak = weak_from_this(), worker, incarnation = link.number,
+       asked_at = Now()](const HoldReply& reply) {
+        if (const auto self = weak.lock()) {
+          self->OnHoldReply(worker, incarnation, asked_at, reply);
+        }
+      });
 }
 
-void Leadership::Contact(WorkerLink& link,
-                         std::optional<scheduling::WorkerTime> clock) {
+void Leadership::RecordContact(WorkerLink& link,
+                               std::optional<scheduling::WorkerTime> clock) {
   link.last_contact = Now();
   link.lost_at = SteadyTime();
   link.suspect_until = SteadyTime();
@@ -512,16 +537,17 @@
   }
 }
 
-// Whether the life that answers is the one that is known; begins a later one.
-bool Leadership::IsOfThisLife(const std::string& worker,
-                              WorkerLink& link,
-                              const HoldReply& reply) {
+// Whether the answering incarnation is the known one. Switches to the answering
+// one where it is later.
+bool Leadership::CheckIncarnation(const std::string& worker,
+                                  WorkerLink& link,
+                                  const HoldReply& reply) {
   if (reply.born == WallTime() || reply.born == link.born ||
       m_init.mutations.is_birth_ignored) {
     return true;
   }
   if (reply.born < link.born) {
-    link.next_hold = Now() + kHoldRetry;
+    link.next_hold = Now() + kHoldRetryDelay;
     return false;
   }
   const bool is_new = link.born != WallTime();
@@ -536,18 +562,18 @@
   return !is_new;
 }
 
-void Leadership::OnHeld(const std::string& worker,
-                        uint64_t life,
-                        SteadyTime asked_at,
-                        const HoldReply& reply) {
+void Leadership::OnHoldReply(const std::string& worker,
+                             uint64_t incarnation,
+                             SteadyTime asked_at,
+                             const HoldReply& reply) {
   const auto found = m_links.find(worker);
-  if (found == m_links.end() || found->second.number != life) {
+  if (found == m_links.end() || found->second.number != incarnation) {
     return;
   }
   WorkerLink& link = found->second;
   link.is_hold_under_way = false;
   if (reply.outcome == CallOutcome::kOtherLife) {
-    EndAnswering(worker);
+    EndReplacedIncarnation(worker);
     return;
   }
   if (reply.outcome != CallOutcome::kDone) {
@@ -555,15 +581,15 @@
       link.lost_at = Now();
     }
     link.is_silent = true;
-    link.next_hold = Now() + kHoldRetry;
+    link.next_hold = Now() + kHoldRetryDelay;
     return;
   }
-  if (!IsOfThisLife(worker, link, reply)) {
+  if (!CheckIncarnation(worker, link, reply)) {
     return;
   }
-  Contact(link, reply.clock);
+  RecordContact(link, reply.clock);
   if (!link.is_unjudged) {
-    link.lapsed_runs.clear();  // It has not gone down.
+    link.lapsed_runs.clear();  // The worker has not crashed.
   }
   link.last_listed = Now();
   link.is_silent = false;
@@ -579,40 +605,41 @@
             .With("running", static_cast<int64_t>(reply.running.size()))
             .With("ended", static_cast<int64_t>(reply.ended.size())));
   }
-  link.next_hold = Now() + kHoldGap;
-  TakeLists(worker, asked_at, reply);
+  link.next_hold = Now() + kHoldInterval;
+  ProcessRunLists(worker, asked_at, reply);
 }
 
-void Leadership::TakeLists(const std::string& worker,
-                           SteadyTime asked_at,
-                           const HoldReply& reply) {
+void Leadership::ProcessRunLists(const std::string& worker,
+                                 SteadyTime asked_at,
+                                 const HoldReply& reply) {
   Records records;
   m_log.Read([&](const Ledger& ledger) {
     FollowWorkers(ledger);
     if (!m_links.contains(worker)) {
-      return;  // Its life has ended meanwhile.
+      return;  // This incarnation has ended meanwhile.
     }
-    TakeEnds(ledger, worker, reply, records);
-    TakeRunning(ledger, worker, reply);
+    RecordEndedRuns(ledger, worker, reply, records);
+    UpdateRunningRuns(ledger, worker, reply);
     ProveRuns(ledger, reply, records);
-    FindMissing(ledger, worker, asked_at, reply, records);
-    Pace(ledger, m_links.at(worker), reply);
-    DropOlderLives(ledger, worker, records);
+    EndMissingRuns(ledger, worker, asked_at, reply, records);
+    PaceFillingTasks(ledger, m_links.at(worker), reply);
+    EndOlderWorkersOnHost(ledger, worker, records);
   });
   if (!m_links.contains(worker)) {
     return;
   }
-  uint64_t seen = m_links.at(worker).ends_seen;
+  uint64_t last_end = m_links.at(worker).ends_seen;
   for (const EndedRun& ended : reply.ended) {
-    seen = std::max(seen, ended.number);
+    last_end = std::max(last_end, ended.number);
   }
-  CommitEnds(worker, seen, std::move(records));
+  CommitEndedRuns(worker, last_end, std::move(records));
 }
 
-// A host has one life at a time: those that are silent are over.
-void Leadership::DropOlderLives(const Ledger& ledger,
-                                const std::string& worker,
-                                Records& records) {
+// A host runs one worker at a time: earlier workers on the same host that have
+// not answered since this one was first reached are ended.
+void Leadership::EndOlderWorkersOnHost(const Ledger& ledger,
+                                       const std::string& worker,
+                                       Records& records) {
   const Worker* self = ledger.FindWorker(worker);
   if (self == nullptr) {
     return;
@@ -623,15 +650,15 @@
         link.last_contact >= m_links.at(worker).first_contact) {
       continue;
     }
-    EndWorker(ledger, *ledger.FindWorker(id), "its host has a new life",
+    EndWorker(ledger, *ledger.FindWorker(id), "another worker runs on its host",
               records, worker);
   }
 }
 
-void Leadership::TakeEnds(const Ledger& ledger,
-                          const std::string& worker,
-                          const HoldReply& reply,
-                          Records& records) {
+void Leadership::RecordEndedRuns(const Ledger& ledger,
+                                 const std::string& worker,
+                                 const HoldReply& reply,
+                                 Records& records) {
   for (const EndedRun& ended : reply.ended) {
     const Job* job = nullptr;
     const Task* task = FindTask(ledger, ended.task, &job);
@@ -643,8 +670,8 @@
       continue;
     }
     const auto track = m_runs.find({ended.task, ended.run});
-    Weigh(ledger, m_links.at(worker), ended,
-          track == m_runs.end() ? nullptr : &track->second);
+    LearnFromEndedRun(ledger, m_links.at(worker), ended,
+                      track == m_runs.end() ? nullptr : &track->second);
     ++m_counters.ends;
     records.emplace_back(scheduling::RunEnded{ended.task, ended.run, worker,
                                               ended.end, ended.checkpoint});
@@ -659,11 +686,11 @@
   }
 }
 
-// What an end tells of its worker and of its queue's run times.
-void Leadership::Weigh(const Ledger& ledger,
-                       WorkerLink& link,
-                       const EndedRun& ended,
-                       const RunTrack* track) {
+// Updates the worker's failure count and the run times learned for the queue.
+void Leadership::LearnFromEndedRun(const Ledger& ledger,
+                                   WorkerLink& link,
+                                   const EndedRun& ended,
+                                   const RunTrack* track) {
   const Job* job = nullptr;
   FindTask(ledger, ended.task, &job);
   if (ended.end == RunEnd::kDone) {
@@ -675,15 +702,15 @@
     }
   } else if (ended.end == RunEnd::kFailed) {
     link.failed_jobs.insert(ended.task.job);
-    if (link.failed_jobs.size() >= kDoubtfulFailures) {
-      link.doubtful_until = Now() + kDoubtful;
+    if (link.failed_jobs.size() >= kDoubtfulFailedJobs) {
+      link.doubtful_until = Now() + kDoubtfulTime;
     }
   }
 }
 
-void Leadership::TakeRunning(const Ledger& ledger,
-                             const std::string& worker,
-                             const HoldReply& reply) {
+void Leadership::UpdateRunningRuns(const Ledger& ledger,
+                                   const std::string& worker,
+                                   const HoldReply& reply) {
   const SteadyTime now = Now();
   for (const RunningRun& running : reply.running) {
     const Job* job = nullptr;
@@ -695,7 +722,7 @@
               .With("run", running.run)
               .With("worker", worker)
               .With("why", "not-known"));
-      // Told again with the next look, should this one get lost.
+      // A lost stop is sent again after the next hold request.
       WhenSure([this, order = StopOrder{
                           m_links.at(worker).address, running.task, running.run,
                           FenceOf(m_links.at(worker)), OrderTimeout()}] {
@@ -718,13 +745,14 @@
   }
 }
 
-// A run that was taken, or barred, and that a later look does not list, is not
-// there. An earlier leader's that is not listed may never have been sent.
-void Leadership::FindMissing(const Ledger& ledger,
-                             const std::string& worker,
-                             SteadyTime asked_at,
-                             const HoldReply& reply,
-                             Records& records) {
+// Ends the runs that the worker took or barred and that the answer to a later
+// hold request does not list. An unlisted run of an earlier leader may never
+// have been sent, so its start is sent again.
+void Leadership::EndMissingRuns(const Ledger& ledger,
+                                const std::string& worker,
+                                SteadyTime asked_at,
+                                const HoldReply& reply,
+                                Records& records) {
   const Worker* known = ledger.FindWorker(worker);
   if (known == nullptr) {
     return;
@@ -733,13 +761,15 @@
   for (const scheduling::TaskId& id : known->active) {
     const Job& job = *ledger.FindJob(id.job);
     for (const auto& active : job.tasks[job.IndexOf(id)].active) {
-      if (active.worker != worker || Lists(reply.running, id, active.run) ||
-          Lists(reply.ended, id, active.run)) {
+      if (active.worker != worker ||
+          ContainsRun(reply.running, id, active.run) ||
+          ContainsRun(reply.ended, id, active.run)) {
         continue;
       }
       RunTrack& track = m_runs[{id, active.run}];
       if (track.start == StartStage::kUncertain && active.is_outlived) {
-        // Began in an earlier life, which this one's fence has ended for good.
+        // Started in an earlier incarnation, whose orders the fence of this one
+        // rules out for good.
         track.worker = worker;
         track.start = StartStage::kSettled;
         track.settled_at = SteadyTime();
@@ -766,9 +796,9 @@
   }
 }
 
-void Leadership::Pace(const Ledger& ledger,
-                      WorkerLink& link,
-                      const HoldReply& reply) {
+void Leadership::PaceFillingTasks(const Ledger& ledger,
+                                  WorkerLink& link,
+                                  const HoldReply& reply) {
   double worst = 0;
   std::vector<const RunningRun*> filling;
   for (const RunningRun& running : reply.running) {
@@ -823,7 +853,7 @@
         if (self == nullptr || reply.outcome == CallOutcome::kDone) {
           return;
         }
-        // Told again with the next look.
+        // Sent again after the next hold request.
         const auto link = self->m_links.find(worker);
         if (link != self->m_links.end() &&
             link->second.pacer.told.contains(key)) {
@@ -832,33 +862,34 @@
       });
 }
 
-// An end counts as seen by its worker only once it is committed: else the next
-// leader would start again what is done.
-void Leadership::CommitEnds(const std::string& worker,
-                            uint64_t seen,
-                            Records records) {
+// An ended run is acknowledged to its worker only once it is committed:
+// otherwise the next leader would start a finished task again.
+void Leadership::CommitEndedRuns(const std::string& worker,
+                                 uint64_t last_end,
+                                 Records records) {
   if (records.empty()) {
     WorkerLink& link = m_links.at(worker);
-    link.ends_seen = seen;
-    if (link.is_first_look) {
-      link.is_first_look = false;
+    link.ends_seen = last_end;
+    if (link.is_awaiting_first_list) {
+      link.is_awaiting_first_list = false;
       PlanSoon();
     }
     return;
   }
   WorkerLink& link = m_links.at(worker);
   if (m_init.mutations.is_end_seen_early) {
-    link.ends_seen = seen;
+    link.ends_seen = last_end;
     SendHold(worker, link, Millis(0));
   }
-  link.is_hold_under_way = true;  // No look until then: it would tell the same.
+  // No hold request until the commit: it would report the same runs again.
+  link.is_hold_under_way = true;
   std::vector<RunKey> ended;
   for (const scheduling::Record& record : records) {
     if (const auto* end = std::get_if<scheduling::RunEnded>(&record)) {
       ended.push_back({end->task, end->run});
     }
   }
-  Commit(std::move(records), [this, worker, seen, life = link.number,
+  Commit(std::move(records), [this, worker, last_end, incarnation = link.number,
                               ended = std::move(ended)](CommitOutcome outcome) {
     const auto found = m_links.find(worker);
     if (outcome == CommitOutcome::kCommitted) {
@@ -866,19 +897,19 @@
         m_runs.erase(key);
       }
     }
-    if (found != m_links.end() && found->second.number == life) {
+    if (found != m_links.end() && found->second.number == incarnation) {
       WorkerLink& link = found->second;
       link.is_hold_under_way = false;
-      link.is_first_look = false;
-      // One look at a time: that of the mutation is under way.
+      link.is_awaiting_first_list = false;
+      // With the mutation, a hold request is in flight already.
       const bool has_told = m_init.mutations.is_end_seen_early;
       if (outcome == CommitOutcome::kCommitted && !has_told) {
-        link.ends_seen = std::max(link.ends_seen, seen);
-        if (IsBehind()) {
-          // Ends gather meanwhile, and one look takes them all.
-          link.next_hold = Now() + kHoldGap;
+        link.ends_seen = std::max(link.ends_seen, last_end);
+        if (IsTickLagHigh()) {
+          // Meanwhile more runs end, and one request collects them all.
+          link.next_hold = Now() + kHoldInterval;
         } else {
-          SendHold(worker, link, kBusyWait);
+          SendHold(worker, link, kBusyHoldWait);
         }
       }
     }
@@ -886,14 +917,14 @@
   });
 }
 
-void Leadership::EndLife(const WorkerLife& life, const char* why) {
+void Leadership::EndLife(const WorkerLife& incarnation, const char* why) {
   Records records;
   m_log.Read([&](const Ledger& ledger) {
     FollowWorkers(ledger);
-    const auto link = m_links.find(life.id);
-    const Worker* worker = ledger.FindWorker(life.id);
+    const auto link = m_links.find(incarnation.id);
+    const Worker* worker = ledger.FindWorker(incarnation.id);
     if (link != m_links.end() && !link->second.is_gone_under_way &&
-        worker != nullptr && life.IsSame(*worker)) {
+        worker != nullptr && incarnation.IsSame(*worker)) {
       EndWorker(ledger, *worker, why, records);
     }
   });
@@ -902,10 +933,10 @@
   }
 }
 
-void Leadership::EndAnswering(const std::string& worker) {
+void Leadership::EndReplacedIncarnation(const std::string& worker) {
   const auto link = m_links.find(worker);
   if (link != m_links.end()) {
-    EndLife({worker, link->second.born}, "another life answers");
+    EndLife({worker, link->second.born}, "another incarnation answers");
   }
 }
 
--- a/packages/dispatch/src/ports.cc
+++ b/packages/dispatch/src/ports.cc
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr std::array<const char*, static_cast<size_t>(CallOutcome::kCount)>
-    kOutcomeNames{"done",        "fenced",    "old-run",    "late",
-                  "no-room",     "no-ticket", "other-life", "refused",
-                  "not-reached", "unknown"};
+    kCallOutcomeNames{"done",        "fenced",    "old-run",    "late",
+                      "no-room",     "no-ticket", "other-life", "refused",
+                      "not-reached", "unknown"};
 
 constexpr std::array<const char*, static_cast<size_t>(HostActOutcome::kCount)>
     kHostActOutcomeNames{"done",    "busy",    "refused", "fenced",
@@ -22,7 +22,7 @@
 }
 
 const char* CallOutcomeName(CallOutcome outcome) {
-  return kOutcomeNames.at(static_cast<size_t>(outcome));
+  return kCallOutcomeNames.at(static_cast<size_t>(outcome));
 }
 
 }  // namespace laurelhall::dispatch
