--- a/packages/dispatch/include/laurelhall/dispatch/order_relay.h
+++ b/packages/dispatch/include/laurelhall/dispatch/order_relay.h
@@ -15,9 +15,10 @@
 
   std::string name;  ///< Of this daemon.
   std::string availability_zone;
-  TimerService* timers = nullptr;  ///< Its callbacks come on the one thread.
+  TimerService* timers = nullptr;  ///< Calls back on the relay's thread.
   std::function<void(std::function<void()>)> post;  ///< To that thread.
-  /// Asks the leader once; its answer, or none, may come on any thread.
+  /// Sends one request to the leader. `done` may be called on any thread; it
+  /// gets nullopt when there was no answer.
   std::function<
       void(const std::string& request, SteadyTime deadline, Answered done)>
       ask;
@@ -25,19 +26,18 @@
   std::function<BootTime()> boot_now = BootClock::now;
 };
 
-/// Makes calls to workers in the leader's name: asks the leader for orders,
-/// carries them out at once, and brings back what became of them.
+/// Calls workers on behalf of the leader: requests orders from it, carries them
+/// out at once and reports their results.
 ///
-/// @remarks On the one thread only. Decides nothing and keeps nothing: an order
-///   carries the leader's term as fence, and one that lay here for too long is
-///   given back unsent. An order in the hands of a relay that is lost is an
-///   order without an answer.
+/// @remarks Used on one thread only. Makes no decisions and stores nothing: an
+///   order carries the leader's term in its fence, and an order that is too old
+///   is returned unsent. When a relay is lost, its orders count as unanswered.
 class OrderRelay {
  public:
   explicit OrderRelay(const OrderRelayInit& init);
   ~OrderRelay();
 
-  /// Asks for no more orders; those under way are finished and told.
+  /// Requests no more orders; those in flight are finished and reported.
   void Leave();
 
  private:
--- a/packages/dispatch/include/laurelhall/dispatch/relayed.h
+++ b/packages/dispatch/include/laurelhall/dispatch/relayed.h
@@ -7,34 +7,34 @@
 #include "laurelhall/dispatch/ports.h"
 #include "laurelhall/scheduling/codec.h"
 
-// Orders to workers as the leader hands them to a relay, and what comes back.
+// Messages between the leader and a relay, which calls workers on its behalf.
 namespace laurelhall::dispatch {
 
-/// When a relay asks again whose question was not answered by a leader.
-constexpr Millis kRelayRetry{200};
+/// Delay after which a relay repeats a request that no leader answered.
+constexpr Millis kRelayRetryDelay{200};
 
-/// One order. Its number is the leader's; a result carries it back.
+/// One order. The leader numbers its orders; the result carries the number.
 struct RelayedOrder {
   uint64_t number = 0;
   std::variant<StartOrder, StopOrder, PaceOrder, HoldOrder> order;
-  /// Of a start: its place in the batch's payloads, so that the tasks of one
-  /// job carry their payload once.
+  /// For a StartOrder: the index of its payload in RelayedBatch::payloads.
+  /// Consecutive starts with the same payload share one entry.
   uint32_t payload = 0;
 };
 
-/// What a relay is answered: orders that came together.
+/// The leader's answer to a relay: a batch of orders.
 struct RelayedBatch {
-  bool is_chosen = false;  ///< Else: not needed now.
-  Millis come_back{0};     ///< When to ask again, where it was not chosen.
+  bool is_relay_needed = false;  ///< Whether the leader needs this relay now.
+  Millis next_request_in{0};  ///< Delay before the next request, if not needed.
   std::vector<std::string> payloads;
   std::vector<RelayedOrder> orders;
 };
 
-/// What became of one order; the lists of a look alone.
+/// The result of one order. Only that of a HoldOrder has lists of runs.
 struct RelayedResult {
   uint64_t number = 0;
   HoldReply reply;
-  Millis took{0};  ///< As in CallReply.
+  Millis took{0};  ///< As CallReply::took.
 };
 
 template <typename Archive>
@@ -72,7 +72,8 @@
 
 template <typename Archive>
 void Visit(Archive& archive, RelayedBatch& value) {
-  archive(value.is_chosen, value.come_back, value.payloads, value.orders);
+  archive(value.is_relay_needed, value.next_request_in, value.payloads,
+          value.orders);
 }
 
 template <typename Archive>
--- a/packages/dispatch/include/laurelhall/dispatch/remote.h
+++ b/packages/dispatch/include/laurelhall/dispatch/remote.h
@@ -11,37 +11,39 @@
 
 namespace laurelhall::dispatch {
 
-/// Carries an encoded request to the leader and tries again until a deadline.
-/// Calls back once, from any thread; with none when nobody answered, and then
-/// whether the request may have been carried out.
+/// Sends an encoded request to the leader, with retries until its deadline.
+/// Calls `done` once, on any thread, with the answer; with nullopt when there
+/// was none, and then whether the request may have been carried out.
 using AskLeader = std::function<void(
     scheduling::LeaderRequest request,
     std::function<void(std::optional<std::string>, bool may_have_run)> done)>;
 
 struct RemoteInit {
-  TimerService* timers = nullptr;  ///< Its callbacks come on the one thread.
+  TimerService* timers = nullptr;  ///< Calls back on the scheduler's thread.
   std::function<void(std::function<void()>)> post;  ///< To that thread.
   AskLeader ask;
-  /// How long a caller is made to wait for a leader before it is told to come
-  /// back: an election and the leader's first look at its log.
+  /// How long a caller waits for a leader before it is told to retry later:
+  /// enough for an election and for the new leader to read its log.
   Millis patience{1'500};
 };
 
-/// The scheduling as an entry host sees it: the leader's, wherever it is.
+/// An entry host's access to the scheduler of the leader, wherever that runs.
 ///
-/// @remarks On the one thread only.
+/// @remarks Used on one thread only.
 class RemoteScheduler {
  public:
   explicit RemoteScheduler(const RemoteInit& init);
   ~RemoteScheduler();
 
-  /// Asks the leader.
+  /// Sends a request to the leader.
   ///
-  /// @param left The caller's time. Answers at once when the request is given
-  ///   up; kUnknown only when it may have been carried out.
-  void Ask(Request request, Millis left, ReplyDone done);
+  /// @param time_left Until the caller's deadline. `done` is called as soon as
+  ///   the request is given up, with kUnknown only when the request may have
+  ///   been carried out.
+  void Ask(Request request, Millis time_left, ReplyDone done);
 
-  /// Whether a leader answered lately, or nobody asked.
+  /// Whether a leader has answered within the last 2.5 s, or this object was
+  /// created within that time.
   bool is_connected() const;
 
  private:
--- a/packages/dispatch/src/order_relay.cc
+++ b/packages/dispatch/src/order_relay.cc
@@ -13,20 +13,21 @@
 
 namespace {
 
-// Results that come within this time go to the leader together: each question
-// costs it about as much as a start's plan.
-constexpr Millis kGather{15};
-// The leader holds a question back for a part of this, until there are orders.
-constexpr Millis kPatience{1'500};
-// One question brings results at once while another waits for orders.
-constexpr size_t kMostQuestions = 2;
-// An order may lie here for so long from when the question was asked that it
-// answers. A relay that was frozen must not give orders that its leader has
-// long given up.
-constexpr Millis kOrderLife{1'000};
-// Workers without an order for so long are another relay's now.
-constexpr Millis kUnusedWorker{8'000};
-constexpr Millis kSweep{4'000};
+// Results that arrive within this time are sent to the leader together: each
+// request costs it about as much as planning a start.
+constexpr Millis kBatchDelay{15};
+// Timeout of a request to the leader, which parks it for a part of this time
+// until there are orders.
+constexpr Millis kRequestTimeout{1'500};
+// One request can deliver results at once while another waits for orders.
+constexpr size_t kMaxRequestsInFlight = 2;
+// Maximum age of an order, counted from when the request was sent that brought
+// it. A relay that was frozen must not send orders that its leader has long
+// given up.
+constexpr Millis kMaxOrderAge{1'000};
+// A worker without orders for this long is now called by another relay.
+constexpr Millis kWorkerIdleTimeout{8'000};
+constexpr Millis kSweepInterval{4'000};
 
 }  // namespace
 
@@ -36,109 +37,110 @@
 
   void Start() {
     m_sweep = m_init.timers->SubscribeEvery(
-        kSweep, [weak = weak_from_this()](SteadyTime now) {
+        kSweepInterval, [weak = weak_from_this()](SteadyTime now) {
           if (const auto self = weak.lock()) {
             self->ForgetUnused(now);
           }
         });
-    AskIn(Millis(0));
+    ScheduleRequest(Millis(0));
   }
 
   void Stop() { m_init.timers->Cancel(m_sweep); }
 
   void Leave() {
     m_is_leaving = true;
-    AskSoon();
+    ScheduleNextRequest();
   }
 
  private:
-  struct Known {
+  struct RecentWorker {
     WorkerAddress address;
     SteadyTime used_at{};
   };
 
-  void AskIn(Millis delay) {
-    if (m_is_ask_due) {
+  void ScheduleRequest(Millis delay) {
+    if (m_is_request_scheduled) {
       return;
     }
-    m_is_ask_due = true;
+    m_is_request_scheduled = true;
     m_init.timers->SubscribeOnce(delay, [weak = weak_from_this()](SteadyTime) {
       if (const auto self = weak.lock()) {
-        self->m_is_ask_due = false;
-        self->Ask();
+        self->m_is_request_scheduled = false;
+        self->SendRequest();
       }
     });
   }
 
-  void AskSoon() {
-    const SteadyTime next = m_asked_at + kGather;
+  void ScheduleNextRequest() {
+    const SteadyTime next = m_requested_at + kBatchDelay;
     const auto left = std::chrono::ceil<Millis>(next - m_init.timers->Now());
-    AskIn(std::max(left, Millis(0)));
+    ScheduleRequest(std::max(left, Millis(0)));
   }
 
-  void Ask() {
-    const bool has_nothing = m_results.empty();
-    const bool has_left = m_is_leaving && m_has_told_leaving;
-    const bool is_news = m_is_leaving && !m_has_told_leaving;
-    if (m_questions == kMostQuestions ||
-        (has_nothing && !is_news && (m_questions > 0 || has_left))) {
+  void SendRequest() {
+    const bool has_no_results = m_results.empty();
+    const bool has_left = m_is_leaving && m_has_reported_leaving;
+    const bool must_report_leaving = m_is_leaving && !m_has_reported_leaving;
+    if (m_requests_in_flight == kMaxRequestsInFlight ||
+        (has_no_results && !must_report_leaving &&
+         (m_requests_in_flight > 0 || has_left))) {
       return;
     }
-    m_has_told_leaving = m_is_leaving;
-    ++m_questions;
+    m_has_reported_leaving = m_is_leaving;
+    ++m_requests_in_flight;
     const SteadyTime now = m_init.timers->Now();
-    m_asked_at = now;
+    m_requested_at = now;
     auto results = std::make_shared<std::vector<RelayedResult>>(
         std::exchange(m_results, {}));
-    RelayOrders question{m_init.name, m_init.availability_zone, m_is_leaving,
-                         *results};
+    RelayOrders request{m_init.name, m_init.availability_zone, m_is_leaving,
+                        *results};
     m_init.ask(
-        scheduling::Encode(Request(std::move(question))), now + kPatience,
+        scheduling::Encode(Request(std::move(request))), now + kRequestTimeout,
         [weak = weak_from_this(), post = m_init.post, results,
          asked_at = m_init.boot_now()](std::optional<std::string> reply) {
           post([weak, results, asked_at, reply = std::move(reply)] {
             if (const auto self = weak.lock()) {
-              self->Answered(reply, *results, asked_at);
+              self->OnAnswer(reply, *results, asked_at);
             }
           });
         });
   }
 
-  void Answered(const std::optional<std::string>& text,
+  void OnAnswer(const std::optional<std::string>& text,
                 std::vector<RelayedResult>& results,
                 BootTime asked_at) {
-    --m_questions;
+    --m_requests_in_flight;
     RelayedBatch batch;
-    if (!Read(text, batch)) {
-      // Told again: the leader takes no notice of what it was told before.
+    if (!DecodeBatch(text, batch)) {
+      // Reported again: the leader ignores results that it has already.
       m_results.insert(m_results.end(),
                        std::make_move_iterator(results.begin()),
                        std::make_move_iterator(results.end()));
-      AskIn(kRelayRetry);
+      ScheduleRequest(kRelayRetryDelay);
       return;
     }
-    if (!batch.is_chosen) {
+    if (!batch.is_relay_needed) {
       if (m_results.empty()) {
-        AskIn(batch.come_back);
+        ScheduleRequest(batch.next_request_in);
       } else {
-        AskSoon();
+        ScheduleNextRequest();
       }
       return;
     }
-    const bool is_late = m_init.boot_now() - asked_at > kOrderLife;
+    const bool are_too_old = m_init.boot_now() - asked_at > kMaxOrderAge;
     for (RelayedOrder& order : batch.orders) {
-      if (is_late) {
-        GiveBack(order.number);
+      if (are_too_old) {
+        ReturnUnsent(order.number);
       } else {
         CarryOut(batch, order);
       }
     }
-    AskSoon();
+    ScheduleNextRequest();
   }
 
-  // False where nobody answered, or nobody who leads.
-  static bool Read(const std::optional<std::string>& text,
-                   RelayedBatch& batch) {
+  // Returns false if there was no answer, or it was not from a leader.
+  static bool DecodeBatch(const std::optional<std::string>& text,
+                          RelayedBatch& batch) {
     if (!text) {
       return false;
     }
@@ -156,20 +158,20 @@
     }
   }
 
-  void GiveBack(uint64_t number) {
+  void ReturnUnsent(uint64_t number) {
     RelayedResult result;
     result.number = number;
     result.reply.outcome = CallOutcome::kNotReached;
-    Told(std::move(result));
+    AddResult(std::move(result));
   }
 
-  void Told(RelayedResult result) {
+  void AddResult(RelayedResult result) {
     m_results.push_back(std::move(result));
-    AskSoon();
+    ScheduleNextRequest();
   }
 
-  void Use(const WorkerAddress& worker) {
-    m_known[worker.id] = {worker, m_init.timers->Now()};
+  void RecordUse(const WorkerAddress& worker) {
+    m_recent_workers[worker.id] = {worker, m_init.timers->Now()};
   }
 
   void CarryOut(const RelayedBatch& batch, RelayedOrder& relayed) {
@@ -178,43 +180,43 @@
       if (relayed.payload < batch.payloads.size()) {
         start->payload = batch.payloads[relayed.payload];
       }
-      Use(start->worker);
-      m_init.workers->Start(std::move(*start), Take(number));
+      RecordUse(start->worker);
+      m_init.workers->Start(std::move(*start), MakeCallback(number));
     } else if (auto* stop = std::get_if<StopOrder>(&relayed.order)) {
-      Use(stop->worker);
-      m_init.workers->Stop(std::move(*stop), Take(number));
+      RecordUse(stop->worker);
+      m_init.workers->Stop(std::move(*stop), MakeCallback(number));
     } else if (auto* pace = std::get_if<PaceOrder>(&relayed.order)) {
-      Use(pace->worker);
-      m_init.workers->Pace(std::move(*pace), Take(number));
+      RecordUse(pace->worker);
+      m_init.workers->Pace(std::move(*pace), MakeCallback(number));
     } else if (auto* hold = std::get_if<HoldOrder>(&relayed.order)) {
-      Use(hold->worker);
+      RecordUse(hold->worker);
       m_init.workers->Hold(std::move(*hold),
                            [weak = weak_from_this(), number](HoldReply reply) {
                              if (const auto self = weak.lock()) {
-                               self->Told({number, std::move(reply)});
+                               self->AddResult({number, std::move(reply)});
                              }
                            });
     }
   }
 
-  std::function<void(CallReply)> Take(uint64_t number) {
+  std::function<void(CallReply)> MakeCallback(uint64_t number) {
     return [weak = weak_from_this(), number](const CallReply& reply) {
       if (const auto self = weak.lock()) {
         RelayedResult result{number};
         result.reply.outcome = reply.outcome;
         result.reply.clock = reply.clock;
         result.took = reply.took;
-        self->Told(std::move(result));
+        self->AddResult(std::move(result));
       }
     };
   }
 
   void ForgetUnused(SteadyTime now) {
-    std::erase_if(m_known, [&](const auto& entry) {
-      const Known& known = entry.second;
-      const bool is_unused = now - known.used_at > kUnusedWorker;
+    std::erase_if(m_recent_workers, [&](const auto& entry) {
+      const RecentWorker& recent = entry.second;
+      const bool is_unused = now - recent.used_at > kWorkerIdleTimeout;
       if (is_unused) {
-        m_init.workers->Forget(known.address);
+        m_init.workers->Forget(recent.address);
       }
       return is_unused;
     });
@@ -223,12 +225,12 @@
   const OrderRelayInit m_init;
   TimerHandle m_sweep;
   bool m_is_leaving = false;
-  bool m_has_told_leaving = false;
-  bool m_is_ask_due = false;
-  size_t m_questions = 0;  // Under way.
-  SteadyTime m_asked_at{};
-  std::vector<RelayedResult> m_results;            // Not told yet.
-  std::unordered_map<std::string, Known> m_known;  // By worker.
+  bool m_has_reported_leaving = false;
+  bool m_is_request_scheduled = false;
+  size_t m_requests_in_flight = 0;
+  SteadyTime m_requested_at{};
+  std::vector<RelayedResult> m_results;  // Not reported yet.
+  std::unordered_map<std::string, RecentWorker> m_recent_workers;  // By worker.
 };
 
 OrderRelay::OrderRelay(const OrderRelayInit& init)
--- a/packages/dispatch/src/relay_pool.cc
+++ b/packages/dispatch/src/relay_pool.cc
@@ -9,24 +9,27 @@
 
 namespace {
 
-// What the leader orders within this time goes to a relay together: the starts
-// of one plan, the looks of one tick.
-constexpr Millis kGather{3};
-// How long a question waits for orders. A relay that is lost is noticed by the
-// next question that doesn't come.
-constexpr Millis kParked{400};
+// Orders made within this time are sent to a relay together: the starts of one
+// plan, the hold requests of one tick.
+constexpr Millis kBatchDelay{3};
+// How long a relay's request is parked until there are orders.
+constexpr Millis kMaxParkTime{400};
+// A relay without a parked request is lost when no new one has come within this
+// time of the last.
 constexpr Millis kLost{1'000};
-// When a host that is not needed as a relay may ask again; a lost relay is
-// replaced within this.
-constexpr Millis kComeBack{1'000};
-// Relays notice a new leader within this: a question that failed, asked again.
-constexpr Millis kRelaysCome = kRelayRetry + Millis(100);
-// The way to a relay and back, and what results wait there for.
-constexpr Millis kOnTheWay{300};
-// A relay gives workers to others when it has so many times its share.
-constexpr double kMostShare = 1.25;
-// Of an order's number within its term.
-constexpr int kNumberBits = 32;
+// Delay after which a host that is not needed as a relay asks again. A lost
+// relay is replaced within this time.
+constexpr Millis kSpareRelayRetryDelay{1'000};
+// Relays find a new leader within this time, by repeating a failed request.
+constexpr Millis kRelayDiscoveryTime = kRelayRetryDelay + Millis(100);
+// Time for an order to reach a relay and for its result to return, including
+// the time that results wait at the relay.
+constexpr Millis kRelayTransitTime{300};
+// A relay with more than this many times its share of workers is overloaded,
+// and workers move to others.
+constexpr double kMaxLoadShare = 1.25;
+// Low bits of an order's number, which count within the leader's term.
+constexpr int kOrderNumberBits = 32;
 
 const WorkerAddress& WorkerOf(const RelayedOrder& relayed) {
   return std::visit(
@@ -34,12 +37,12 @@
       relayed.order);
 }
 
-Millis PatienceOf(const RelayedOrder& relayed) {
+Millis TimeoutOf(const RelayedOrder& relayed) {
   return std::visit([](const auto& order) { return order.timeout; },
                     relayed.order);
 }
 
-RelayedResult Failed(CallOutcome outcome) {
+RelayedResult FailedResult(CallOutcome outcome) {
   RelayedResult result;
   result.reply.outcome = outcome;
   return result;
@@ -53,7 +56,7 @@
   return reply;
 }
 
-Reply Answer(RelayedBatch batch) {
+Reply BatchReply(RelayedBatch batch) {
   Reply reply;
   reply.outcome = Outcome::kOk;
   reply.document = scheduling::Encode(std::move(batch));
@@ -65,19 +68,19 @@
 // --- Orders -----------------------------------------------------------------
 
 template <typename Order>
-void RelayPool::Send(Order order, Told told) {
-  Called& called = CalledFor(order.worker);
+void RelayPool::Send(Order order, ResultCallback on_result) {
+  WorkerRoute& route = RouteTo(order.worker);
   RelayedOrder relayed;
   relayed.order = std::move(order);
-  if (AwaitsRelay(called)) {
-    HoldBack(std::move(relayed), std::move(told));
+  if (MustWaitForRelay(route)) {
+    Defer(std::move(relayed), std::move(on_result));
     return;
   }
-  Assign(called);
-  if (called.relay.empty()) {
-    SendDirect(std::move(relayed), std::move(told));
+  AssignRelay(route);
+  if (route.relay.empty()) {
+    SendDirect(std::move(relayed), std::move(on_result));
   } else {
-    Queue(std::move(relayed), called, std::move(told));
+    Enqueue(std::move(relayed), route, std::move(on_result));
   }
 }
 
@@ -106,35 +109,35 @@
 }
 
 void RelayPool::Forget(const WorkerAddress& worker) {
-  const auto found = m_called.find(worker.id);
-  if (found == m_called.end()) {
+  const auto found = m_routes.find(worker.id);
+  if (found == m_routes.end()) {
     return;
   }
-  const Called& called = found->second;
-  if (called.has_connection) {
-    --m_connections;
+  const WorkerRoute& route = found->second;
+  if (route.has_connection) {
+    --m_direct_connections;
     m_direct.Forget(worker);
   }
-  const auto relay = m_relays.find(called.relay);
+  const auto relay = m_relays.find(route.relay);
   if (relay != m_relays.end()) {
     --relay->second.workers;
   }
-  m_called.erase(found);
+  m_routes.erase(found);
 }
 
-RelayPool::Called& RelayPool::CalledFor(const WorkerAddress& worker) {
-  const auto [called, is_new] = m_called.try_emplace(worker.id);
+RelayPool::WorkerRoute& RelayPool::RouteTo(const WorkerAddress& worker) {
+  const auto [route, is_new] = m_routes.try_emplace(worker.id);
   if (is_new) {
-    called->second.availability_zone = worker.availability_zone;
-    const bool are_needed_now = m_called.size() == m_bounds.own_workers + 1 &&
-                                m_relays.empty() &&
-                                m_timers.Now() >= m_relays_expected_until;
-    if (are_needed_now) {
-      // Followers that were not needed so far ask again by then.
-      ExpectRelays(kComeBack + kRelaysCome);
+    route->second.availability_zone = worker.availability_zone;
+    const bool are_relays_needed =
+        m_routes.size() == m_bounds.own_workers + 1 && m_relays.empty() &&
+        m_timers.Now() >= m_relays_expected_until;
+    if (are_relays_needed) {
+      // Followers that were not needed as relays so far ask again by then.
+      ExpectRelays(kSpareRelayRetryDelay + kRelayDiscoveryTime);
     }
   }
-  return called->second;
+  return route->second;
 }
 
 void RelayPool::ExpectRelays(Millis within) {
@@ -142,134 +145,142 @@
       std::max(m_relays_expected_until, m_timers.Now() + within);
 }
 
-// A connection to each of some thousand workers would use up this host's
-// descriptors, only to be closed once relays are there.
-bool RelayPool::AwaitsRelay(const Called& called) const {
-  return m_connections >= m_bounds.most_direct && called.relay.empty() &&
-         !called.has_connection && m_relays.size() < RelaysWanted() &&
+// Whether an order has to wait for a relay. Direct connections to some thousand
+// workers would use up this host's descriptors, only to be closed once relays
+// have come.
+bool RelayPool::MustWaitForRelay(const WorkerRoute& route) const {
+  return m_direct_connections >= m_bounds.most_direct && route.relay.empty() &&
+         !route.has_connection && m_relays.size() < RelaysNeeded() &&
          m_timers.Now() < m_relays_expected_until;
 }
 
-void RelayPool::HoldBack(RelayedOrder relayed, Told told) {
-  const uint64_t number = AddPending(std::move(relayed), "", std::move(told));
-  // Its own time begins once it may leave.
+void RelayPool::Defer(RelayedOrder relayed, ResultCallback on_result) {
+  const uint64_t number =
+      AddPending(std::move(relayed), "", std::move(on_result));
+  // The order's timeout counts from when it can be sent.
   Pending& pending = m_pending.at(number);
-  m_overdue.erase(pending.overdue);
-  pending.overdue =
-      m_overdue.emplace(m_relays_expected_until + pending.patience, number);
-  m_held_back.push_back(number);
+  m_deadlines.erase(pending.deadline_entry);
+  pending.deadline_entry = m_deadlines.emplace(
+      m_relays_expected_until + pending.result_timeout, number);
+  m_deferred.push_back(number);
 }
 
-void RelayPool::SendHeldBack() {
-  for (const uint64_t number : std::exchange(m_held_back, {})) {
-    SendAgain(number);
+void RelayPool::SendDeferred() {
+  for (const uint64_t number : std::exchange(m_deferred, {})) {
+    Reroute(number);
   }
 }
 
-// What was not handed to a relay yet.
-void RelayPool::SendAgain(uint64_t number) {
+// Sends an order that was not yet handed over to a relay.
+void RelayPool::Reroute(uint64_t number) {
   const auto found = m_pending.find(number);
   if (found == m_pending.end()) {
-    return;  // Given up meanwhile.
+    return;  // Given up already.
   }
   RelayedOrder order = std::move(found->second.order);
-  const Told told = std::move(found->second.told);
-  m_overdue.erase(found->second.overdue);
+  const ResultCallback on_result = std::move(found->second.on_result);
+  m_deadlines.erase(found->second.deadline_entry);
   m_pending.erase(found);
-  std::visit([&](auto& each) { Send(std::move(each), told); }, order.order);
+  std::visit([&](auto& each) { Send(std::move(each), on_result); },
+             order.order);
 }
 
 uint64_t RelayPool::AddPending(RelayedOrder relayed,
                                const std::string& relay,
-                               Told told) {
+                               ResultCallback on_result) {
   const uint64_t number = ++m_last_number;
   relayed.number = number;
   Pending& pending = m_pending[number];
   pending.relay = relay;
-  pending.patience = PatienceOf(relayed) + kOnTheWay + m_own_delay;
+  pending.result_timeout = TimeoutOf(relayed) + kRelayTransitTime + m_own_delay;
   pending.order = std::move(relayed);
-  pending.told = std::move(told);
-  pending.overdue =
-      m_overdue.emplace(m_timers.Now() + pending.patience, number);
+  pending.on_result = std::move(on_result);
+  pending.deadline_entry =
+      m_deadlines.emplace(m_timers.Now() + pending.result_timeout, number);
   return number;
 }
 
-// Back to this host once the calls are done: a worker grants few connections.
-RelayPool::Told RelayPool::CountDirect(const std::string& worker, Told told) {
-  Called& called = m_called.at(worker);
-  m_connections += called.has_connection ? 0 : 1;
-  called.has_connection = true;
-  ++called.direct_calls;
+// Counts a direct call until its result. After the leadership has ended, the
+// connection is closed with the last call: a worker allows few connections.
+RelayPool::ResultCallback RelayPool::TrackDirectCall(const std::string& worker,
+                                                     ResultCallback on_result) {
+  WorkerRoute& route = m_routes.at(worker);
+  m_direct_connections += route.has_connection ? 0 : 1;
+  route.has_connection = true;
+  ++route.direct_calls;
   return [this, alive = std::weak_ptr(m_is_alive), worker,
-          told = std::move(told)](RelayedResult result) {
+          on_result = std::move(on_result)](RelayedResult result) {
     if (!alive.expired()) {
-      const auto found = m_called.find(worker);
-      if (found != m_called.end()) {
+      const auto found = m_routes.find(worker);
+      if (found != m_routes.end()) {
         --found->second.direct_calls;
         if (!m_is_leading) {
-          CloseIdle(worker, found->second);
+          CloseIfIdle(worker, found->second);
         }
       }
     }
-    told(std::move(result));
+    on_result(std::move(result));
   };
 }
 
-void RelayPool::SendDirect(RelayedOrder relayed, Told told) {
-  auto counted = CountDirect(WorkerOf(relayed).id, std::move(told));
-  const auto take = [counted](const CallReply& reply) {
-    RelayedResult result = Failed(reply.outcome);
+void RelayPool::SendDirect(RelayedOrder relayed, ResultCallback on_result) {
+  auto tracked = TrackDirectCall(WorkerOf(relayed).id, std::move(on_result));
+  const auto on_reply = [tracked](const CallReply& reply) {
+    RelayedResult result = FailedResult(reply.outcome);
     result.reply.clock = reply.clock;
     result.took = reply.took;
-    counted(std::move(result));
+    tracked(std::move(result));
   };
   if (auto* start = std::get_if<StartOrder>(&relayed.order)) {
-    m_direct.Start(std::move(*start), take);
+    m_direct.Start(std::move(*start), on_reply);
   } else if (auto* stop = std::get_if<StopOrder>(&relayed.order)) {
-    m_direct.Stop(std::move(*stop), take);
+    m_direct.Stop(std::move(*stop), on_reply);
   } else if (auto* pace = std::get_if<PaceOrder>(&relayed.order)) {
-    m_direct.Pace(std::move(*pace), take);
+    m_direct.Pace(std::move(*pace), on_reply);
   } else if (auto* hold = std::get_if<HoldOrder>(&relayed.order)) {
-    m_direct.Hold(std::move(*hold), [counted](HoldReply reply) {
-      counted({0, std::move(reply)});
+    m_direct.Hold(std::move(*hold), [tracked](HoldReply reply) {
+      tracked({0, std::move(reply)});
     });
   }
 }
 
-void RelayPool::Queue(RelayedOrder relayed, Called& called, Told told) {
-  CloseIdle(WorkerOf(relayed).id, called);
+void RelayPool::Enqueue(RelayedOrder relayed,
+                        WorkerRoute& route,
+                        ResultCallback on_result) {
+  CloseIfIdle(WorkerOf(relayed).id, route);
   const uint64_t number =
-      AddPending(std::move(relayed), called.relay, std::move(told));
-  m_relays.at(called.relay).queue.push_back(number);
-  FlushSoon();
+      AddPending(std::move(relayed), route.relay, std::move(on_result));
+  m_relays.at(route.relay).queue.push_back(number);
+  ScheduleFlush();
 }
 
-void RelayPool::CloseIdle(const std::string& worker, Called& called) {
-  if (called.has_connection && called.direct_calls == 0) {
-    called.has_connection = false;
-    --m_connections;
-    m_direct.Forget({worker, "", called.availability_zone});
+void RelayPool::CloseIfIdle(const std::string& worker, WorkerRoute& route) {
+  if (route.has_connection && route.direct_calls == 0) {
+    route.has_connection = false;
+    --m_direct_connections;
+    m_direct.Forget({worker, "", route.availability_zone});
   }
 }
 
 // --- Relays -----------------------------------------------------------------
 
-size_t RelayPool::RelaysWanted() const {
-  if (m_called.size() <= m_bounds.own_workers) {
+size_t RelayPool::RelaysNeeded() const {
+  if (m_routes.size() <= m_bounds.own_workers) {
     return 0;
   }
   const size_t share = m_bounds.workers_per_relay;
-  return (m_called.size() + share - 1) / share;
+  return (m_routes.size() + share - 1) / share;
 }
 
-bool RelayPool::IsWanted(const RelayOrders& question) const {
-  return !question.is_leaving && (m_relays.contains(question.relay) ||
-                                  m_relays.size() < RelaysWanted());
+bool RelayPool::IsRelayNeeded(const RelayOrders& request) const {
+  return !request.is_leaving &&
+         (m_relays.contains(request.relay) || m_relays.size() < RelaysNeeded());
 }
 
-// In the worker's own availability zone, where one there is not overloaded: the
-// fewer bytes between zones.
-RelayPool::Relays::iterator RelayPool::LeastBusy(const std::string& zone) {
+// Prefers relays in the worker's availability zone that are not overloaded, for
+// less traffic between zones.
+RelayPool::Relays::iterator RelayPool::LeastLoadedRelay(
+    const std::string& zone) {
   const auto rank = [this, &zone](const Relay& relay) {
     const bool is_near =
         relay.availability_zone == zone && !IsOverloaded(relay);
@@ -282,22 +293,23 @@
 }
 
 bool RelayPool::IsOverloaded(const Relay& relay) const {
-  const double share = static_cast<double>(m_called.size()) /
+  const double share = static_cast<double>(m_routes.size()) /
                        static_cast<double>(m_relays.size());
-  return static_cast<double>(relay.workers) > kMostShare * share + 1;
+  return static_cast<double>(relay.workers) > kMaxLoadShare * share + 1;
 }
 
-// A worker stays with its relay: another one has no connection to it yet.
-void RelayPool::Assign(Called& called) {
-  const auto current = m_relays.find(called.relay);
+// Keeps a worker's current relay unless it is overloaded: another one has no
+// connection to the worker yet.
+void RelayPool::AssignRelay(WorkerRoute& route) {
+  const auto current = m_relays.find(route.relay);
   if (current != m_relays.end() && !IsOverloaded(current->second)) {
     return;
   }
   if (m_relays.empty()) {
-    called.relay.clear();
+    route.relay.clear();
     return;
   }
-  const auto next = LeastBusy(called.availability_zone);
+  const auto next = LeastLoadedRelay(route.availability_zone);
   if (current != m_relays.end()) {
     if (IsOverloaded(next->second)) {
       return;
@@ -305,62 +317,62 @@
     --current->second.workers;
   }
   ++next->second.workers;
-  called.relay = next->first;
+  route.relay = next->first;
 }
 
-void RelayPool::Ask(RelayOrders question, ReplyDone done) {
-  for (RelayedResult& result : question.results) {
-    Settle(std::move(result));
+void RelayPool::Ask(RelayOrders request, ReplyDone done) {
+  for (RelayedResult& result : request.results) {
+    OnResult(std::move(result));
   }
-  const auto known = m_relays.find(question.relay);
-  if (!IsWanted(question)) {
+  const auto known = m_relays.find(request.relay);
+  if (!IsRelayNeeded(request)) {
     if (known != m_relays.end()) {
-      Drop(known, "leaves");  // It still tells of what it was handed.
+      RemoveRelay(known, "leaves");  // It still reports results of its orders.
     }
     RelayedBatch batch;
-    batch.come_back = kComeBack;
-    done(Answer(std::move(batch)));
+    batch.next_request_in = kSpareRelayRetryDelay;
+    done(BatchReply(std::move(batch)));
     return;
   }
   const SteadyTime now = m_timers.Now();
-  Relay& relay = m_relays[question.relay];
+  Relay& relay = m_relays[request.relay];
   if (known == m_relays.end()) {
-    relay.availability_zone = question.availability_zone;
+    relay.availability_zone = request.availability_zone;
     DecisionLog::Get().Write(
         DecisionLine("relay", "chosen")
-            .With("relay", question.relay)
-            .With("availability_zone", question.availability_zone)
+            .With("relay", request.relay)
+            .With("availability_zone", request.availability_zone)
             .With("relays", static_cast<uint64_t>(m_relays.size()))
-            .With("workers", static_cast<uint64_t>(m_called.size())));
+            .With("workers", static_cast<uint64_t>(m_routes.size())));
   }
-  relay.heard_at = now;
-  if (m_relays.size() >= RelaysWanted()) {
-    SendHeldBack();
+  relay.last_request_at = now;
+  if (m_relays.size() >= RelaysNeeded()) {
+    SendDeferred();
   }
-  // The newer question gets what there is: the other may be of a connection
-  // that was lost.
-  Release(relay);
+  // New orders go to the newer request: the older one may have come over a
+  // connection that was lost since.
+  ReleaseParked(relay);
   relay.parked = std::move(done);
-  relay.parked_until = now + kParked;
+  relay.parked_until = now + kMaxParkTime;
   if (!relay.queue.empty()) {
-    FlushSoon();
+    ScheduleFlush();
   }
 }
 
-void RelayPool::Release(Relay& relay) {
+void RelayPool::ReleaseParked(Relay& relay) {
   if (const ReplyDone parked = std::exchange(relay.parked, nullptr)) {
-    RelayedBatch nothing;
-    nothing.is_chosen = true;
-    parked(Answer(std::move(nothing)));
+    RelayedBatch empty_batch;
+    empty_batch.is_relay_needed = true;
+    parked(BatchReply(std::move(empty_batch)));
   }
 }
 
-void RelayPool::FlushSoon() {
+void RelayPool::ScheduleFlush() {
   if (m_is_flush_due) {
     return;
   }
   m_is_flush_due = true;
-  m_timers.SubscribeOnce(kGather,
+  m_timers.SubscribeOnce(kBatchDelay,
                          [this, alive = std::weak_ptr(m_is_alive)](SteadyTime) {
                            if (!alive.expired()) {
                              m_is_flush_due = false;
@@ -372,24 +384,25 @@
 void RelayPool::Flush() {
   for (auto& [name, relay] : m_relays) {
     if (relay.parked != nullptr && !relay.queue.empty()) {
-      HandOver(relay);
+      HandOverQueue(relay);
     }
   }
 }
 
-void RelayPool::HandOver(Relay& relay) {
+void RelayPool::HandOverQueue(Relay& relay) {
   RelayedBatch batch;
-  batch.is_chosen = true;
+  batch.is_relay_needed = true;
   const SteadyTime now = m_timers.Now();
   for (const uint64_t number : std::exchange(relay.queue, {})) {
     const auto found = m_pending.find(number);
     if (found == m_pending.end()) {
-      continue;  // Given up meanwhile.
+      continue;  // Given up already.
     }
     Pending& pending = found->second;
-    pending.is_handed = true;
-    m_overdue.erase(pending.overdue);
-    pending.overdue = m_overdue.emplace(now + pending.patience, number);
+    pending.is_handed_over = true;
+    m_deadlines.erase(pending.deadline_entry);
+    pending.deadline_entry =
+        m_deadlines.emplace(now + pending.result_timeout, number);
     RelayedOrder& order = batch.orders.emplace_back(std::move(pending.order));
     if (auto* start = std::get_if<StartOrder>(&order.order)) {
       if (batch.payloads.empty() || batch.payloads.back() != start->payload) {
@@ -401,64 +414,65 @@
   }
   if (!batch.orders.empty()) {
     const ReplyDone parked = std::exchange(relay.parked, nullptr);
-    parked(Answer(std::move(batch)));
+    parked(BatchReply(std::move(batch)));
   }
 }
 
 // --- Results ----------------------------------------------------------------
 
-void RelayPool::Settle(RelayedResult result) {
+void RelayPool::OnResult(RelayedResult result) {
   const uint64_t number = result.number;
-  Finish(number, std::move(result));
+  CompleteOrder(number, std::move(result));
 }
 
-void RelayPool::Finish(uint64_t number, RelayedResult result) {
+void RelayPool::CompleteOrder(uint64_t number, RelayedResult result) {
   const auto found = m_pending.find(number);
   if (found == m_pending.end()) {
-    return;  // Told before, given up, or of an earlier leadership.
+    return;  // Completed or given up already, or of an earlier leadership.
   }
-  const Told told = std::move(found->second.told);
-  m_overdue.erase(found->second.overdue);
+  const ResultCallback on_result = std::move(found->second.on_result);
+  m_deadlines.erase(found->second.deadline_entry);
   m_pending.erase(found);
-  told(std::move(result));
+  on_result(std::move(result));
 }
 
-// Its workers go to others with their next order, and what it was not handed
-// goes out by others now.
-void RelayPool::Drop(Relays::iterator lost, const char* why) {
+// The relay's workers get another relay with their next order; queued orders
+// are sent to others now.
+void RelayPool::RemoveRelay(Relays::iterator lost, const char* why) {
   DecisionLog::Get().Write(
       DecisionLine("relay", "lost")
           .With("relay", lost->first)
           .With("why", why)
           .With("workers", static_cast<uint64_t>(lost->second.workers))
           .With("queued", static_cast<uint64_t>(lost->second.queue.size())));
-  Release(lost->second);
+  ReleaseParked(lost->second);
   const std::deque<uint64_t> queue = std::move(lost->second.queue);
   m_relays.erase(lost);
   for (const uint64_t number : queue) {
-    SendAgain(number);
+    Reroute(number);
   }
 }
 
-// Of an order that no result came for.
-CallOutcome RelayPool::UntoldOutcome(bool is_handed) const {
-  return is_handed && !m_mutations.is_handed_order_forgotten
+// The outcome of an order that is given up without a result.
+CallOutcome RelayPool::OutcomeWithoutResult(bool is_handed_over) const {
+  return is_handed_over && !m_mutations.is_handed_order_forgotten
              ? CallOutcome::kUnknown
              : CallOutcome::kNotReached;
 }
 
-// Whatever it was handed may have been carried out or not. Told at once: a look
-// that waits for its time would keep its worker without one for seconds.
-void RelayPool::FailHanded(const std::string& relay) {
+// Completes the orders that a lost relay may or may not have carried out. Not
+// left to their timeouts: a hold request that is still pending keeps its worker
+// without another one for seconds.
+void RelayPool::FailHandedOver(const std::string& relay) {
   std::vector<uint64_t> numbers;
   for (const auto& [number, pending] : m_pending) {
-    if (pending.is_handed && pending.relay == relay) {
+    if (pending.is_handed_over && pending.relay == relay) {
       numbers.push_back(number);
     }
   }
   std::sort(numbers.begin(), numbers.end());
   for (const uint64_t number : numbers) {
-    Finish(number, Failed(UntoldOutcome(true)));
+    CompleteOrder(number, FailedResult(OutcomeWithoutResult(true)));
   }
 }
 
@@ -466,25 +480,26 @@
   m_own_delay = own_delay;
   const SteadyTime now = m_timers.Now();
   if (now >= m_relays_expected_until) {
-    SendHeldBack();
+    SendDeferred();
   }
-  while (!m_overdue.empty() && m_overdue.begin()->first <= now) {
-    const uint64_t number = m_overdue.begin()->second;
-    const bool is_handed = m_pending.at(number).is_handed;
-    Finish(number, Failed(UntoldOutcome(is_handed)));
+  while (!m_deadlines.empty() && m_deadlines.begin()->first <= now) {
+    const uint64_t number = m_deadlines.begin()->second;
+    const bool is_handed_over = m_pending.at(number).is_handed_over;
+    CompleteOrder(number, FailedResult(OutcomeWithoutResult(is_handed_over)));
   }
   for (auto relay = m_relays.begin(); relay != m_relays.end();) {
     const auto current = relay++;
     if (current->second.parked != nullptr &&
         current->second.parked_until <= now) {
-      Release(current->second);
+      ReleaseParked(current->second);
     }
     if (current->second.parked == nullptr &&
-        now - current->second.heard_at > kLost + own_delay) {
+        now - current->second.last_request_at > kLost + own_delay) {
       const std::string name = current->first;
-      Drop(current, "silent");
-      FailHanded(name);
-      relay = m_relays.begin();  // What was sent again may have changed them.
+      RemoveRelay(current, "silent");
+      FailHandedOver(name);
+      // Restarts the loop: resent orders may have changed m_relays.
+      relay = m_relays.begin();
     }
   }
 }
@@ -492,26 +507,27 @@
 void RelayPool::Begin(uint64_t term) {
   Clear();
   m_is_leading = true;
-  ExpectRelays(kRelaysCome);
+  ExpectRelays(kRelayDiscoveryTime);
   m_own_delay = Millis(0);
-  // Results that are meant for another leader match no number of this one.
-  m_last_number = m_mutations.is_relay_term_ignored ? 0 : term << kNumberBits;
+  // Results that were meant for another leader match no number of this term.
+  m_last_number =
+      m_mutations.is_relay_term_ignored ? 0 : term << kOrderNumberBits;
 }
 
 void RelayPool::Clear() {
   m_is_leading = false;
-  m_held_back.clear();
+  m_deferred.clear();
   m_pending.clear();
-  m_overdue.clear();
+  m_deadlines.clear();
   for (auto& [name, relay] : m_relays) {
     if (const ReplyDone parked = std::exchange(relay.parked, nullptr)) {
       parked(Reply());
     }
   }
   m_relays.clear();
-  for (auto& [worker, called] : m_called) {
-    called.relay.clear();
-    CloseIdle(worker, called);
+  for (auto& [worker, route] : m_routes) {
+    route.relay.clear();
+    CloseIfIdle(worker, route);
   }
 }
 
--- a/packages/dispatch/src/relay_pool_p.h
+++ b/packages/dispatch/src/relay_pool_p.h
@@ -14,17 +14,17 @@
 
 namespace laurelhall::dispatch {
 
-/// The leader's calls to workers, through relays where there are more workers
-/// than one host can call: a call by itself costs the leader more than to
-/// decide on it.
+/// Makes the leader's calls to workers, through relays where there are more
+/// workers than one host can call: making a call costs the leader more than
+/// deciding on it.
 ///
-/// @remarks On the dispatcher's one thread. Which worker goes by which relay
-///   is forgotten with the leadership; no promise hangs on it. What a relay was
-///   handed and does not tell of counts as an order without an answer; what it
-///   was not handed goes to another one.
+/// @remarks Used on the dispatcher's thread only. The assignment of workers to
+///   relays is forgotten when the leadership ends; correctness does not depend
+///   on it. An order that was handed over to a relay and has no result counts
+///   as unanswered; one that was not yet handed over goes to another relay.
 class RelayPool final : public WorkerPort {
  public:
-  /// @param direct Calls that go by no relay; outlives this.
+  /// @param direct Makes the calls that go through no relay; outlives this.
   RelayPool(const RelayBounds& bounds,
             const DispatchMutations& mutations,
             TimerService& timers,
@@ -40,101 +40,108 @@
   void Hold(HoldOrder order, std::function<void(HoldReply)> done) override;
   void Forget(const WorkerAddress& worker) override;
 
-  /// A relay brings results and asks for orders; `done` comes once there are
-  /// some, or after a while.
-  void Ask(RelayOrders question, ReplyDone done);
+  /// Handles a request of a relay, which reports results and asks for orders.
+  /// `done` is called once there are orders, or after a while without any.
+  void Ask(RelayOrders request, ReplyDone done);
 
-  /// Looks for what is overdue; to be called at each tick.
+  /// Handles orders and relays whose time is up; to be called at each tick.
   ///
-  /// @param own_delay What this host's thread may add to the time that a relay
-  ///   is heard of after: no sign that the relay is lost.
+  /// @param own_delay Delay that this host's thread may add to the time between
+  ///   two requests of a relay; it does not count towards losing the relay.
   void Tick(Millis own_delay);
 
-  /// A leadership begins.
+  /// Starts a leadership.
   void Begin(uint64_t term);
 
-  /// Ends with the leadership: nothing that is under way is told any more,
-  /// relays look for the next leader, and connections to workers are closed: a
-  /// host that leads no more needs its descriptors for what it relays.
+  /// Ends the leadership: callbacks of pending orders are dropped, relays look
+  /// for the next leader, and connections to workers are closed, as a host that
+  /// leads no more needs its descriptors for the calls that it relays.
   void Clear();
 
   size_t relays() const { return m_relays.size(); }
 
  private:
-  using Told = std::function<void(RelayedResult)>;
+  using ResultCallback = std::function<void(RelayedResult)>;
 
-  /// An order that no result has come for.
+  /// An order without a result so far.
   struct Pending {
-    RelayedOrder order;  // Until it is handed over.
+    RelayedOrder order;  // Moved out when it is handed over.
     std::string relay;
-    bool is_handed = false;
-    Millis patience{0};  // For the answer, once it is handed over.
-    Told told;
-    std::multimap<SteadyTime, uint64_t>::iterator overdue;
+    bool is_handed_over = false;
+    Millis result_timeout{0};  // Counted anew when handed over.
+    ResultCallback on_result;
+    std::multimap<SteadyTime, uint64_t>::iterator deadline_entry;
   };
 
-  /// A host that makes calls for this one.
+  /// A host that makes calls on behalf of this one.
   struct Relay {
     std::string availability_zone;
-    SteadyTime heard_at{};
-    ReplyDone parked;  // A question that waits for orders, if any.
+    SteadyTime last_request_at{};
+    ReplyDone parked;  // Answers the request that waits for orders, if any.
     SteadyTime parked_until{};
-    std::deque<uint64_t> queue;  // Orders that wait to be handed over.
+    std::deque<uint64_t> queue;  // Numbers of orders to be handed over.
     size_t workers = 0;
   };
 
-  struct Called {
+  /// How calls reach a worker.
+  struct WorkerRoute {
     std::string availability_zone;
     std::string relay;            // Empty: called directly.
-    bool has_connection = false;  // Of this host's own.
-    size_t direct_calls = 0;      // Under way.
+    bool has_connection = false;  // From this host.
+    size_t direct_calls = 0;      // In flight.
   };
 
   using Relays = std::map<std::string, Relay>;
 
   template <typename Order>
-  void Send(Order order, Told told);
-  void SendDirect(RelayedOrder order, Told told);
-  Told CountDirect(const std::string& worker, Told told);
-  void Queue(RelayedOrder order, Called& called, Told told);
-  bool AwaitsRelay(const Called& called) const;
+  void Send(Order order, ResultCallback on_result);
+  void SendDirect(RelayedOrder order, ResultCallback on_result);
+  ResultCallback TrackDirectCall(const std::string& worker,
+                                 ResultCallback on_result);
+  void Enqueue(RelayedOrder order,
+               WorkerRoute& route,
+               ResultCallback on_result);
+  bool MustWaitForRelay(const WorkerRoute& route) const;
   void ExpectRelays(Millis within);
-  void HoldBack(RelayedOrder order, Told told);
-  void SendHeldBack();
-  void SendAgain(uint64_t number);
-  uint64_t AddPending(RelayedOrder order, const std::string& relay, Told told);
-  void CloseIdle(const std::string& worker, Called& called);
-  Called& CalledFor(const WorkerAddress& worker);
-  void Assign(Called& called);
+  void Defer(RelayedOrder order, ResultCallback on_result);
+  void SendDeferred();
+  void Reroute(uint64_t number);
+  uint64_t AddPending(RelayedOrder order,
+                      const std::string& relay,
+                      ResultCallback on_result);
+  void CloseIfIdle(const std::string& worker, WorkerRoute& route);
+  WorkerRoute& RouteTo(const WorkerAddress& worker);
+  void AssignRelay(WorkerRoute& route);
   bool IsOverloaded(const Relay& relay) const;
-  Relays::iterator LeastBusy(const std::string& zone);
-  size_t RelaysWanted() const;
-  bool IsWanted(const RelayOrders& question) const;
-  void Settle(RelayedResult result);
-  void Finish(uint64_t number, RelayedResult result);
-  void FlushSoon();
+  Relays::iterator LeastLoadedRelay(const std::string& zone);
+  size_t RelaysNeeded() const;
+  bool IsRelayNeeded(const RelayOrders& request) const;
+  void OnResult(RelayedResult result);
+  void CompleteOrder(uint64_t number, RelayedResult result);
+  void ScheduleFlush();
   void Flush();
-  void HandOver(Relay& relay);
-  void Drop(Relays::iterator relay, const char* why);
-  CallOutcome UntoldOutcome(bool is_handed) const;
-  void FailHanded(const std::string& relay);
-  static void Release(Relay& relay);
+  void HandOverQueue(Relay& relay);
+  void RemoveRelay(Relays::iterator relay, const char* why);
+  CallOutcome OutcomeWithoutResult(bool is_handed_over) const;
+  void FailHandedOver(const std::string& relay);
+  static void ReleaseParked(Relay& relay);
 
   const RelayBounds m_bounds;
   const DispatchMutations m_mutations;
   TimerService& m_timers;
   WorkerPort& m_direct;
-  Relays m_relays;                                   // By name; those chosen.
-  std::unordered_map<std::string, Called> m_called;  // By worker.
-  /// Until then relays are expected, and orders wait for them.
+  Relays m_relays;  // By name; in use now.
+  std::unordered_map<std::string, WorkerRoute> m_routes;  // By worker.
+  /// Until then relays are expected, and orders may be deferred for them.
   SteadyTime m_relays_expected_until{};
-  std::deque<uint64_t> m_held_back;  // Orders that wait for relays.
+  std::deque<uint64_t> m_deferred;  // Numbers of orders that wait for relays.
   bool m_is_leading = false;
-  size_t m_connections = 0;  // Of this host's own to workers.
+  size_t m_direct_connections = 0;  // From this host to workers.
   uint64_t m_last_number = 0;
   Millis m_own_delay{0};
   std::unordered_map<uint64_t, Pending> m_pending;  // By number.
-  std::multimap<SteadyTime, uint64_t> m_overdue;    // When each is given up.
+  /// When each pending order is given up, and its number.
+  std::multimap<SteadyTime, uint64_t> m_deadlines;
   bool m_is_flush_due = false;
   std::shared_ptr<bool> m_is_alive = std::make_shared<bool>(true);
 };
--- a/packages/dispatch/src/remote.cc
+++ b/packages/dispatch/src/remote.cc
@@ -10,44 +10,47 @@
 
 namespace {
 
-// For the answer's way back to the caller.
-constexpr Millis kAnswerTime{100};
-constexpr Millis kRetry{50};
-constexpr Millis kComeBack{700};
-// Asked without need, so that a lost leader is noticed before callers do.
-constexpr Millis kProbe{1'000};
-constexpr Millis kProbeTime{900};
-// Two probes and a half without an answer.
-constexpr Millis kDisconnected{2'500};
-constexpr Millis kLogFlush{100};
-// Several answers of a busy leader.
-constexpr Millis kSilent{300};
-// Two elections.
-constexpr Millis kLongestElection{2'500};
-// A count is of the moment, and is soon asked for again: one that waited for a
-// leader would tell of another moment than the caller asked at, and might know
-// of a newer configuration than an answer to a later question.
-constexpr Millis kCountPatience{200};
-// How much of its time a caller is held at most, whatever became of what it
-// asked: with the rest it can ask another daemon.
-constexpr double kHeldShare = 0.4;
+// Time reserved for the answer to reach the caller.
+constexpr Millis kAnswerReturnTime{100};
+constexpr Millis kRetryDelay{50};
+constexpr Millis kRetryAfter{700};
+// The leader is probed this often, so that its loss is noticed before callers
+// notice it.
+constexpr Millis kProbeInterval{1'000};
+constexpr Millis kProbeTimeout{900};
+// Two and a half probe intervals.
+constexpr Millis kDisconnectedAfter{2'500};
+constexpr Millis kLogFlushInterval{100};
+// Without any answer for this long, the leader is taken to be lost: a busy
+// leader gives several answers in this time.
+constexpr Millis kLeaderLostAfter{300};
+// Enough for two elections.
+constexpr Millis kMaxElectionTime{2'500};
+// A count of waiting jobs is valid for the moment and is soon requested again.
+// A count that waited for a leader would be of a later moment than the caller
+// asked at, and might reflect a newer configuration than the answer to a later
+// request.
+constexpr Millis kCountTimeout{200};
+// Largest share of the caller's time that a request may take, whatever its
+// outcome: in the rest the caller can ask another daemon.
+constexpr double kMaxWaitShare = 0.4;
 
 }  // namespace
 
 class RemoteScheduler::Impl : public std::enable_shared_from_this<Impl> {
  public:
   explicit Impl(const RemoteInit& init)
-      : m_init(init), m_answered_at(init.timers->Now()) {}
+      : m_init(init), m_last_answer_at(init.timers->Now()) {}
 
   void Start() {
     m_probe = m_init.timers->SubscribeEvery(
-        kProbe, [weak = weak_from_this()](SteadyTime) {
+        kProbeInterval, [weak = weak_from_this()](SteadyTime) {
           if (const auto self = weak.lock()) {
             self->Probe();
           }
         });
     m_flush = m_init.timers->SubscribeEvery(
-        kLogFlush, [](SteadyTime) { DecisionLog::Get().Flush(); });
+        kLogFlushInterval, [](SteadyTime) { DecisionLog::Get().Flush(); });
   }
 
   void Stop() {
@@ -55,138 +58,144 @@
     m_init.timers->Cancel(m_flush);
   }
 
-  void Ask(Request request, Millis left, ReplyDone done) {
+  void Ask(Request request, Millis time_left, ReplyDone done) {
     const SteadyTime now = m_init.timers->Now();
-    auto asked = std::make_shared<Asked>();
-    asked->limit = LimitOf(request);
-    asked->changes_nothing = ChangesNothing(request);
-    Millis longest = left - kAnswerTime;
+    auto pending = std::make_shared<PendingRequest>();
+    pending->limit = AdmissionLimitFor(request);
+    pending->is_read_only = IsReadOnly(request);
+    Millis max_wait = time_left - kAnswerReturnTime;
     if (std::holds_alternative<CountWaiting>(request)) {
-      longest = std::min(longest, kCountPatience);
+      max_wait = std::min(max_wait, kCountTimeout);
     }
-    asked->request = scheduling::Encode(std::move(request));
-    asked->give_up_at =
-        now + std::min({m_init.patience, longest,
-                        std::chrono::duration_cast<Millis>(left * kHeldShare)});
-    asked->done = std::move(done);
-    if (asked->limit != nullptr && !asked->limit->MayEnter() &&
+    pending->request = scheduling::Encode(std::move(request));
+    pending->give_up_at = now + std::min({m_init.patience, max_wait,
+                                          std::chrono::duration_cast<Millis>(
+                                              time_left * kMaxWaitShare)});
+    pending->done = std::move(done);
+    if (pending->limit != nullptr && !pending->limit->MayEnter() &&
         !IsLeaderLost()) {
-      Refuse(*asked);
+      Refuse(*pending);
       return;
     }
-    Send(asked);
+    Send(pending);
   }
 
   bool is_connected() const {
-    return m_init.timers->Now() - m_answered_at < kDisconnected;
+    return m_init.timers->Now() - m_last_answer_at < kDisconnectedAfter;
   }
 
  private:
-  struct Asked {
+  struct PendingRequest {
     std::string request;
     SteadyTime give_up_at;
     ReplyDone done;
     bool may_have_run = false;
-    bool changes_nothing = false;
-    SteadyTime sent_at{};             // The last try.
-    AdmissionLimit* limit = nullptr;  // None: taken in whatever the load.
+    bool is_read_only = false;
+    SteadyTime sent_at{};             // Of the last try.
+    AdmissionLimit* limit = nullptr;  // Null: admitted whatever the load.
   };
 
-  static bool ChangesNothing(const Request& request) {
+  static bool IsReadOnly(const Request& request) {
     return std::holds_alternative<GetJob>(request) ||
            std::holds_alternative<CountWaiting>(request) ||
            std::holds_alternative<GetConfiguration>(request) ||
            std::holds_alternative<GetWave>(request);
   }
 
-  // Reads and hand-ins have limits of their own, so that neither crowds out the
-  // other. Cancels, and what operators and probes ask, are few; a cancel frees
-  // room.
-  AdmissionLimit* LimitOf(const Request& request) {
+  // Reads and job submissions have separate limits, so that neither crowds out
+  // the other. Cancels and the requests of operators and probes are few and
+  // have no limit; a cancel also frees capacity.
+  AdmissionLimit* AdmissionLimitFor(const Request& request) {
     if (std::holds_alternative<SubmitJob>(request)) {
-      return &m_hand_ins;
+      return &m_submissions;
     }
     const bool is_callers_read = std::holds_alternative<GetJob>(request) ||
                                  std::holds_alternative<CountWaiting>(request);
     return is_callers_read ? &m_reads : nullptr;
   }
 
-  // A busy leader answers some of what is asked. One that answers nothing is
-  // lost, and callers wait for the next one, as long as an election may take.
+  // A busy leader answers some requests. One that answers none is lost, and
+  // callers wait for the next one for as long as elections may take.
   bool IsLeaderLost() const {
-    const auto silence = m_init.timers->Now() - m_answered_at;
-    return silence > kSilent && silence < kLongestElection;
+    const auto silence = m_init.timers->Now() - m_last_answer_at;
+    return silence > kLeaderLostAfter && silence < kMaxElectionTime;
   }
 
-  // The leader is late with what was asked before: its caller had better come
-  // back than wait for this. Nothing was sent, so nothing has run.
-  void Refuse(const Asked& asked) {
+  // Refuses a request because the leader is late with earlier ones: the caller
+  // does better to retry later than to wait. As nothing was sent, nothing has
+  // been carried out.
+  void Refuse(const PendingRequest& pending) {
     ++m_refused;
     Reply reply;
     reply.outcome = Outcome::kUnavailable;
-    reply.retry_after = kComeBack;
-    asked.done(reply);
+    reply.retry_after = kRetryAfter;
+    pending.done(reply);
   }
 
-  void TellRefused() {
+  void LogRefused() {
     if (m_refused == 0) {
       return;
     }
     DecisionLog::Get().Write(
         DecisionLine("entry", "overload")
             .With("refused", std::exchange(m_refused, 0))
-            .With("hand_ins", static_cast<uint64_t>(m_hand_ins.under_way()))
-            .With("hand_ins_limit", static_cast<uint64_t>(m_hand_ins.limit()))
+            .With("hand_ins", static_cast<uint64_t>(m_submissions.under_way()))
+            .With("hand_ins_limit",
+                  static_cast<uint64_t>(m_submissions.limit()))
             .With("reads", static_cast<uint64_t>(m_reads.under_way()))
             .With("reads_limit", static_cast<uint64_t>(m_reads.limit())));
   }
 
-  // An answer to a caller says as much as one to a probe.
+  // Skipped after a recent answer to a caller, which shows the same as a probe.
   void Probe() {
-    TellRefused();
-    if (m_init.timers->Now() - m_answered_at < kProbe / 2) {
+    LogRefused();
+    if (m_init.timers->Now() - m_last_answer_at < kProbeInterval / 2) {
       return;
     }
-    // A wave that nobody opens: the leader confirms that it leads.
-    Ask(GetWave{}, kProbeTime, [](const Reply&) {});
+    // Reads a wave that nobody opens: before answering, the leader confirms
+    // that it leads.
+    Ask(GetWave{}, kProbeTimeout, [](const Reply&) {});
   }
 
-  // A request counts while it is with a leader, not while it waits for one.
-  void Send(const std::shared_ptr<Asked>& asked) {
-    asked->sent_at = m_init.timers->Now();
-    if (asked->limit != nullptr) {
-      asked->limit->Enter();
+  // A request counts towards its limit while it is with a leader, not while it
+  // waits for one.
+  void Send(const std::shared_ptr<PendingRequest>& pending) {
+    pending->sent_at = m_init.timers->Now();
+    if (pending->limit != nullptr) {
+      pending->limit->Enter();
     }
-    m_init.ask({asked->request, asked->give_up_at, asked->changes_nothing},
-               [weak = weak_from_this(), post = m_init.post, asked](
+    m_init.ask({pending->request, pending->give_up_at, pending->is_read_only},
+               [weak = weak_from_this(), post = m_init.post, pending](
                    std::optional<std::string> reply, bool may_have_run) {
-                 post([weak, asked, reply = std::move(reply), may_have_run] {
+                 post([weak, pending, reply = std::move(reply), may_have_run] {
                    if (const auto self = weak.lock()) {
-                     self->Answered(asked, reply, may_have_run);
+                     self->OnAnswer(pending, reply, may_have_run);
                    }
                  });
                });
   }
 
-  void Leave(const Asked& asked, bool is_answered, bool may_have_run) {
+  void ReleaseAdmission(const PendingRequest& pending,
+                        bool is_answered,
+                        bool may_have_run) {
     const SteadyTime now = m_init.timers->Now();
-    const auto took = std::chrono::floor<Millis>(now - asked.sent_at);
+    const auto took = std::chrono::floor<Millis>(now - pending.sent_at);
     const bool is_busy = may_have_run && !IsLeaderLost();
     const AskedOutcome unanswered =
         is_busy ? AskedOutcome::kNotAnswered : AskedOutcome::kNotSent;
-    asked.limit->Leave(took, is_answered ? AskedOutcome::kAnswered : unanswered,
-                       now);
+    pending.limit->Leave(
+        took, is_answered ? AskedOutcome::kAnswered : unanswered, now);
   }
 
-  void Answered(const std::shared_ptr<Asked>& asked,
+  void OnAnswer(const std::shared_ptr<PendingRequest>& pending,
                 const std::optional<std::string>& text,
                 bool may_have_run) {
-    if (asked->limit != nullptr) {
-      Leave(*asked, text.has_value(), may_have_run);
+    if (pending->limit != nullptr) {
+      ReleaseAdmission(*pending, text.has_value(), may_have_run);
     }
     Reply reply;
     if (text) {
-      m_answered_at = m_init.timers->Now();
+      m_last_answer_at = m_init.timers->Now();
       try {
         reply = scheduling::Decode<Reply>(*text);
       } catch (const scheduling::CodecError& error) {
@@ -195,42 +204,42 @@
         reply.outcome = Outcome::kUnknown;
       }
     } else {
-      asked->may_have_run = asked->may_have_run || may_have_run;
+      pending->may_have_run = pending->may_have_run || may_have_run;
       reply.outcome =
-          asked->may_have_run ? Outcome::kUnknown : Outcome::kUnavailable;
+          pending->may_have_run ? Outcome::kUnknown : Outcome::kUnavailable;
     }
-    asked->may_have_run =
-        asked->may_have_run || reply.outcome == Outcome::kUnknown;
+    pending->may_have_run =
+        pending->may_have_run || reply.outcome == Outcome::kUnknown;
     const bool is_final = reply.outcome != Outcome::kUnknown &&
                           reply.outcome != Outcome::kUnavailable;
     const SteadyTime now = m_init.timers->Now();
-    if (!is_final && now + kRetry < asked->give_up_at) {
+    if (!is_final && now + kRetryDelay < pending->give_up_at) {
       m_init.timers->SubscribeOnce(
-          kRetry, [weak = weak_from_this(), asked](SteadyTime) {
+          kRetryDelay, [weak = weak_from_this(), pending](SteadyTime) {
             if (const auto self = weak.lock()) {
-              self->Send(asked);
+              self->Send(pending);
             }
           });
       return;
     }
-    // An earlier try may have been carried out, whatever the last one says;
-    // which matters only where that changes something.
+    // An earlier try may have been carried out, whatever the outcome of the
+    // last one. This matters only for requests that change something.
     if (!is_final) {
-      reply.outcome = asked->may_have_run && !asked->changes_nothing
+      reply.outcome = pending->may_have_run && !pending->is_read_only
                           ? Outcome::kUnknown
                           : Outcome::kUnavailable;
     }
     if (reply.outcome == Outcome::kUnavailable) {
-      reply.retry_after = std::max(reply.retry_after, kComeBack);
+      reply.retry_after = std::max(reply.retry_after, kRetryAfter);
     }
-    asked->done(reply);
+    pending->done(reply);
   }
 
   const RemoteInit m_init;
-  AdmissionLimit m_hand_ins;
+  AdmissionLimit m_submissions;
   AdmissionLimit m_reads;
-  uint64_t m_refused = 0;  // Since it was told last.
-  SteadyTime m_answered_at;
+  uint64_t m_refused = 0;  // Since the last log line about it.
+  SteadyTime m_last_answer_at;
   TimerHandle m_probe;
   TimerHandle m_flush;
 };
@@ -244,8 +253,8 @@
   m_impl->Stop();
 }
 
-void RemoteScheduler::Ask(Request request, Millis left, ReplyDone done) {
-  m_impl->Ask(std::move(request), left, std::move(done));
+void RemoteScheduler::Ask(Request request, Millis time_left, ReplyDone done) {
+  m_impl->Ask(std::move(request), time_left, std::move(done));
 }
 
 bool RemoteScheduler::is_connected() const {
--- a/packages/dispatch/tests/relay_test.cc
+++ b/packages/dispatch/tests/relay_test.cc
@@ -230,7 +230,7 @@
 
 TEST_CASE("RelayedBatch, encoded and decoded, is the same") {
   RelayedBatch batch;
-  batch.is_chosen = true;
+  batch.is_relay_needed = true;
   batch.payloads = {"photo"};
   StartOrder start;
   start.worker = {"w", "a:1", "zone"};
