--- a/packages/dispatch/src/leadership_p.h
+++ b/packages/dispatch/src/leadership_p.h
@@ -138,9 +138,9 @@
   bool is_lapse_under_way = false;
   bool is_lapsed = false;
   bool is_gone_under_way = false;
-  bool is_awaiting_first_list = true;  ///< Nothing was planned on it yet.
+  bool is_awaiting_first_list = true;  ///< Its first list is not handled yet.
   bool is_silent = false;              ///< The last look was not answered.
-  bool is_hold_under_way = false;      ///< Or waits for its ends' commit.
+  bool is_hold_under_way = false;  ///< Or its ended runs are being committed.
   bool is_renewal_under_way = false;
   SteadyTime next_hold{};
   SteadyTime next_renewal{};
--- a/packages/dispatch/src/orders.cc
+++ b/packages/dispatch/src/orders.cc
@@ -442,10 +442,11 @@
   order.fence = FenceOf(link);
   // A new incarnation numbers its ended runs anew: its ends must not be
   // acknowledged by the numbers of the one before.
-  const bool is_same_life =
+  const bool is_same_incarnation =
       !link.is_silent && Now() - link.last_listed < kSameIncarnationTime;
-  order.ends_seen =
-      is_same_life || m_init.mutations.is_birth_ignored ? link.ends_seen : 0;
+  order.ends_seen = is_same_incarnation || m_init.mutations.is_birth_ignored
+                        ? link.ends_seen
+                        : 0;
   order.wait = wait;
   order.timeout = wait + kHoldAnswerMargin + OwnDelay();
   return order;
@@ -537,8 +538,8 @@
   }
 }
 
-// Whether the answering incarnation is the known one. Switches to the answering
-// one where it is later.
+// Whether the reply is from the known incarnation, or the first one that is
+// known. Switches to a later incarnation, and then returns false.
 bool Leadership::CheckIncarnation(const std::string& worker,
                                   WorkerLink& link,
                                   const HoldReply& reply) {
@@ -902,8 +903,8 @@
       link.is_hold_under_way = false;
       link.is_awaiting_first_list = false;
       // With the mutation, a hold request is in flight already.
-      const bool has_told = m_init.mutations.is_end_seen_early;
-      if (outcome == CommitOutcome::kCommitted && !has_told) {
+      const bool is_hold_sent = m_init.mutations.is_end_seen_early;
+      if (outcome == CommitOutcome::kCommitted && !is_hold_sent) {
         link.ends_seen = std::max(link.ends_seen, last_end);
         if (IsTickLagHigh()) {
           // Meanwhile more runs end, and one request collects them all.
--- a/packages/dispatch/tests/incidents/listed_run_barred_test.cc
+++ b/packages/dispatch/tests/incidents/listed_run_barred_test.cc
@@ -1,10 +1,7 @@
-// Seen: persistent tasks that ran were stopped though nothing had asked for it.
-// How: a start is carried out and its answer comes too late or not at all; a
-// look lists the run; the start is sent again all the same, and when that is
-// turned down or not sent the run is barred, which stops it.
-// Cause: an order counted as unanswered is repeated and barred without regard
-// to the worker's own list, which has shown since that the run is there.
-// Proof: the test below.
+// Guards against running persistent tasks that are stopped without a reason. A
+// start is carried out, but its answer is late or lost, and a hold request then
+// lists the run. If the leader ignores the list, it repeats the start, and when
+// the repeat is refused or not sent, it bars the run, which stops it.
 
 #include <doctest/doctest.h>
 
@@ -13,12 +10,13 @@
 namespace laurelhall::dispatch {
 namespace {
 
-class UnheardStartFixture {
+class UnansweredStartFixture {
  protected:
-  UnheardStartFixture() {
+  UnansweredStartFixture() {
     world.AddWorkers(1);
     world.Advance(Millis(1'000));
-    // Their ends bring a look while the answer to the start below is missing.
+    // The end of this task makes the worker list its runs while the answer to
+    // the start below is missing.
     scheduling::StepSpec brief = Tasks(1);
     brief.estimate = Millis(200);
     world.Submit("brief", {brief});
@@ -39,7 +37,7 @@
     return step;
   }
 
-  uint32_t RunOfP() const {
+  uint32_t ActiveRunOfP() const {
     const auto& active = world.ledger().FindJob("p")->tasks[0].active;
     return active.size() == 1 ? active[0].run : 0;
   }
@@ -47,21 +45,23 @@
   World world{7};
 };
 
-TEST_CASE_FIXTURE(UnheardStartFixture,
-                  "Dispatcher, run is listed, a refused repeat stops nothing") {
+TEST_CASE_FIXTURE(UnansweredStartFixture,
+                  "Dispatcher, run is listed and repeated start is refused, "
+                  "run is kept") {
   REQUIRE(world.starts() == 2);
-  world.Advance(Millis(200));  // A look lists it.
+  world.Advance(Millis(200));  // A hold request lists the run.
   world.weather.refused = 1;
   world.Advance(Millis(600));
   world.weather.refused = 0;
   world.Advance(Millis(2'000));
-  CHECK(RunOfP() == 1);
+  CHECK(ActiveRunOfP() == 1);
 }
 
-TEST_CASE_FIXTURE(UnheardStartFixture,
-                  "Dispatcher, run is listed, an accepted repeat keeps it") {
+TEST_CASE_FIXTURE(UnansweredStartFixture,
+                  "Dispatcher, run is listed and repeated start is accepted, "
+                  "run is kept") {
   world.Advance(Millis(3'000));
-  CHECK(RunOfP() == 1);
+  CHECK(ActiveRunOfP() == 1);
 }
 
 }  // namespace
--- a/packages/dispatch/tests/incidents/room_shrinks_test.cc
+++ b/packages/dispatch/tests/incidents/room_shrinks_test.cc
@@ -1,12 +1,11 @@
-// Seen: by reading, when the room of a worker may shrink while it runs. How: an
-// older word of a worker that arrives after a newer one set its room back to
-// what it had been, and a start that was sent again went to a worker whose room
-// had shrunk meanwhile. Cause: words were taken as they came, and room was
-// looked at only when a start was planned.
-//
-// Seen again: by the soak, when leaders changed about the time of the word. A
-// new leader, or one that had stood still, started tasks by the room that was
-// committed last. Cause: nothing told how old what is committed of a worker is.
+// Guards against starts that exceed the capacity of a worker which shrinks
+// while it runs. They come about in these ways:
+// - An old announcement arrives after a newer one and restores the old
+//   capacity, if announcements are applied in the order of their arrival.
+// - A repeated start goes to a worker whose capacity has shrunk meanwhile, if
+//   capacity is checked only when the start is planned.
+// - A new leader, or one that was paused, starts tasks by the capacity that was
+//   committed last, if the age of the committed capacity is unknown.
 
 #include <doctest/doctest.h>
 
@@ -19,71 +18,72 @@
   return Step(count, {}, Millis(800));
 }
 
-constexpr scheduling::Resources kSmall{1'000, 16'000, 0};
+constexpr scheduling::Resources kSmallCapacity{1'000, 16'000, 0};
 
-class ShrinkingRoomFixture {
+class ShrinkingCapacityFixture {
  protected:
-  ShrinkingRoomFixture() {
+  ShrinkingCapacityFixture() {
     world.AddWorkers(2);
     world.Advance(Millis(500));
   }
 
-  void CheckClean() const {
+  void CheckNoViolations() const {
     for (const std::string& violation : world.violations()) {
       FAIL_CHECK(violation);
     }
   }
 
-  // Tells of a smaller room so that no leader ever hears of it, until the old
-  // room counts no more.
-  void ShrinkUnheard(const std::string& worker) {
+  // Shrinks a worker's capacity without any leader hearing of it, and advances
+  // until the old capacity is no longer valid.
+  void ShrinkUnreported(const std::string& worker) {
     world.Mute(worker, true);
-    world.Resize(worker, kSmall);
-    world.Advance(kRoomCounts);
+    world.Resize(worker, kSmallCapacity);
+    world.Advance(kOldCapacityValidFor);
   }
 
-  // The worker is heard again after a second, and all goes on.
-  void CheckWork() {
+  // Checks that work completes within the new capacity after w0 is heard again.
+  void CheckWorkResumes() {
     world.Submit("a", {Tasks(12)});
     world.Advance(Millis(1'000));
     world.Mute("w0", false);
     world.Advance(Millis(10'000));
     CHECK(world.StateOf("a") == scheduling::JobState::kSucceeded);
-    CHECK(world.ledger().FindWorker("w0")->info.capacity == kSmall);
-    CheckClean();
+    CHECK(world.ledger().FindWorker("w0")->info.capacity == kSmallCapacity);
+    CheckNoViolations();
   }
 
-  // For so long a room that has shrunk may still be used.
-  static constexpr Millis kRoomCounts{4'600};
+  // For this long the old capacity may still be used after it has shrunk.
+  static constexpr Millis kOldCapacityValidFor{4'600};
 
   World world{7};
 };
 
-// Guards against an older word that undoes a newer one.
-TEST_CASE_FIXTURE(ShrinkingRoomFixture,
-                  "Dispatcher, older word arrives late, room stays as told") {
+// Guards against an old announcement that overrides a newer one.
+TEST_CASE_FIXTURE(ShrinkingCapacityFixture,
+                  "Dispatcher, old announcement arrives late, newer capacity "
+                  "is kept") {
   const scheduling::WorkerInfo before = world.ledger().FindWorker("w0")->info;
   world.Resize("w0", {3'000, 16'000, 0});
-  world.Resize("w0", kSmall);
+  world.Resize("w0", kSmallCapacity);
   world.Advance(Millis(5'000));
   world.Announce(before, 1);
   world.Advance(Millis(100));
   world.Submit("a", {Tasks(12)});
   world.Advance(Millis(10'000));
   CHECK(world.StateOf("a") == scheduling::JobState::kSucceeded);
-  CHECK(world.ledger().FindWorker("w0")->info.capacity == kSmall);
-  CheckClean();
+  CHECK(world.ledger().FindWorker("w0")->info.capacity == kSmallCapacity);
+  CheckNoViolations();
 }
 
-// Guards against a start that is repeated when its place is gone.
-TEST_CASE_FIXTURE(ShrinkingRoomFixture,
-                  "Dispatcher, room shrinks before a start is repeated, it "
-                  "goes elsewhere") {
+// Guards against a repeated start that no longer fits its worker.
+TEST_CASE_FIXTURE(ShrinkingCapacityFixture,
+                  "Dispatcher, capacity shrinks before a start is repeated, "
+                  "task goes elsewhere") {
   for (int round = 0; round < 6; ++round) {
     world.weather.lost = 1;
     world.Submit("job-" + std::to_string(round), {Tasks(8)});
     world.Advance(Millis(300));
-    world.Resize("w0", kSmall);
+    world.Resize("w0", kSmallCapacity);
     world.Advance(Millis(4'600));
     world.weather.lost = 0;
     world.Advance(Millis(12'000));
@@ -92,128 +92,129 @@
     world.Resize("w0", {4'000, 16'000, 0});
     world.Advance(Millis(1'000));
   }
-  CheckClean();
+  CheckNoViolations();
 }
 
-TEST_CASE_FIXTURE(ShrinkingRoomFixture,
-                  "Dispatcher, room shrinks to nothing and grows, work goes "
-                  "on") {
+TEST_CASE_FIXTURE(ShrinkingCapacityFixture,
+                  "Dispatcher, capacity shrinks to zero and grows, work "
+                  "resumes") {
   world.Resize("w0", {});
   world.Resize("w1", {});
   world.Advance(Millis(500));
   world.Submit("a", {Tasks(4)});
   world.Advance(Millis(3'000));
   CHECK(world.ledger().FindJob("a")->active_runs == 0);
-  world.Resize("w1", kSmall);
+  world.Resize("w1", kSmallCapacity);
   world.Advance(Millis(8'000));
   CHECK(world.StateOf("a") == scheduling::JobState::kSucceeded);
-  CheckClean();
+  CheckNoViolations();
 }
 
-TEST_CASE_FIXTURE(ShrinkingRoomFixture,
-                  "Dispatcher, word of a room is not heard by the new leader, "
-                  "nothing starts by the old room") {
-  ShrinkUnheard("w0");
+TEST_CASE_FIXTURE(ShrinkingCapacityFixture,
+                  "Dispatcher, new leader does not hear of a capacity, nothing "
+                  "starts by the old one") {
+  ShrinkUnreported("w0");
   world.ChangeLeader(Millis(0));
-  CheckWork();
+  CheckWorkResumes();
 }
 
-TEST_CASE_FIXTURE(ShrinkingRoomFixture,
-                  "Dispatcher, word of a room is proposed and not committed, "
-                  "nothing starts by the old room") {
+TEST_CASE_FIXTURE(ShrinkingCapacityFixture,
+                  "Dispatcher, new capacity is proposed and not committed, "
+                  "nothing starts by the old one") {
   world.SlowCommits(Millis(6'000));
-  world.Resize("w0", kSmall, Millis(10));
+  world.Resize("w0", kSmallCapacity, Millis(10));
   world.Advance(Millis(100));
   world.Mute("w0", true);
-  world.Advance(kRoomCounts);
+  world.Advance(kOldCapacityValidFor);
   world.SlowCommits(Millis(5));
   world.ChangeLeader(Millis(1'100));
-  CheckWork();
+  CheckWorkResumes();
 }
 
-TEST_CASE_FIXTURE(ShrinkingRoomFixture,
-                  "Dispatcher, word of a room comes to a frozen leader, "
-                  "nothing starts by the old room") {
+TEST_CASE_FIXTURE(ShrinkingCapacityFixture,
+                  "Dispatcher, new capacity is announced to a frozen leader, "
+                  "nothing starts by the old one") {
   world.Mute("w0", true);
-  world.Resize("w0", kSmall);
-  world.FreezeLeader(kRoomCounts, Millis(200));
-  CheckWork();
+  world.Resize("w0", kSmallCapacity);
+  world.FreezeLeader(kOldCapacityValidFor, Millis(200));
+  CheckWorkResumes();
 }
 
-TEST_CASE_FIXTURE(ShrinkingRoomFixture,
-                  "Dispatcher, leader stood still while a room shrank, nothing "
-                  "starts by the old room") {
+TEST_CASE_FIXTURE(ShrinkingCapacityFixture,
+                  "Dispatcher, leader is paused while a capacity shrinks, "
+                  "nothing starts by the old one") {
   world.Mute("w0", true);
-  world.Resize("w0", kSmall);
-  world.PauseLeader(kRoomCounts);
-  CheckWork();
+  world.Resize("w0", kSmallCapacity);
+  world.PauseLeader(kOldCapacityValidFor);
+  CheckWorkResumes();
 }
 
-TEST_CASE_FIXTURE(ShrinkingRoomFixture,
-                  "Dispatcher, leaders change three times while a room "
-                  "shrinks, nothing starts by the old room") {
+TEST_CASE_FIXTURE(ShrinkingCapacityFixture,
+                  "Dispatcher, leaders change three times while a capacity "
+                  "shrinks, nothing starts by the old one") {
   world.Mute("w0", true);
-  world.Resize("w0", kSmall);
+  world.Resize("w0", kSmallCapacity);
   for (int change = 0; change < 3; ++change) {
-    world.Advance(kRoomCounts / 3);
+    world.Advance(kOldCapacityValidFor / 3);
     world.ChangeLeader(Millis(300));
   }
-  CheckWork();
+  CheckWorkResumes();
 }
 
-// What a worker said before its room shrank lies unread at a host that is
-// frozen, and is passed on when that wakes.
-TEST_CASE_FIXTURE(ShrinkingRoomFixture,
-                  "Dispatcher, old word lies unread and is passed on late, "
-                  "nothing starts by the old room") {
+// An announcement of the old capacity lies unread at a frozen host, which
+// passes it on when it resumes.
+TEST_CASE_FIXTURE(ShrinkingCapacityFixture,
+                  "Dispatcher, old announcement is passed on late, nothing "
+                  "starts by the old capacity") {
   world.Announce(world.ledger().FindWorker("w0")->info, 1);
   world.Mute("w0", true);
-  world.Resize("w0", kSmall);
-  world.FreezeLeader(kRoomCounts, Millis(0));
+  world.Resize("w0", kSmallCapacity);
+  world.FreezeLeader(kOldCapacityValidFor, Millis(0));
   world.Advance(Millis(500));
-  CheckWork();
+  CheckWorkResumes();
 }
 
-// A start of an earlier leader, which it could not bring to its worker, goes
-// elsewhere when the worker does not tell of its room.
-TEST_CASE_FIXTURE(ShrinkingRoomFixture,
-                  "Dispatcher, start of the leader before, worker is not "
-                  "heard, its task goes elsewhere") {
+// A start that an earlier leader could not deliver is planned elsewhere when
+// its worker does not report its capacity.
+TEST_CASE_FIXTURE(ShrinkingCapacityFixture,
+                  "Dispatcher, start of an earlier leader and unheard worker, "
+                  "task goes elsewhere") {
   world.Mute("w0", true);
   world.weather.lost = 1;
   world.Submit("a", {Tasks(8)});
-  world.Resize("w0", kSmall);
-  world.Advance(kRoomCounts);
+  world.Resize("w0", kSmallCapacity);
+  world.Advance(kOldCapacityValidFor);
   world.ChangeLeader(Millis(0));
   world.weather.lost = 0;
   world.Advance(Millis(12'000));
   CHECK(world.StateOf("a") == scheduling::JobState::kSucceeded);
-  CheckClean();
+  CheckNoViolations();
 }
 
-// The word and the starts are under way together: all that a worker is to take
-// is weighed against what it has said by then.
-TEST_CASE_FIXTURE(ShrinkingRoomFixture,
-                  "Dispatcher, room shrinks while starts are planned, they are "
-                  "held back together") {
+// The announcement and the starts are in flight at the same time: the starts of
+// a worker are checked together against the capacity that is known by then.
+TEST_CASE_FIXTURE(ShrinkingCapacityFixture,
+                  "Dispatcher, capacity shrinks while starts are planned, they "
+                  "are held back together") {
   world.SlowCommits(Millis(300));
-  world.Resize("w0", kSmall, Millis(10));
+  world.Resize("w0", kSmallCapacity, Millis(10));
   world.Advance(Millis(50));
   world.Submit("a", {Tasks(8)});
   world.Advance(Millis(800));
-  CHECK(scheduling::Fits(world.worker("w0").Used(), kSmall));
+  CHECK(scheduling::Fits(world.worker("w0").Used(), kSmallCapacity));
   world.SlowCommits(Millis(5));
   world.Advance(Millis(10'000));
   CHECK(world.StateOf("a") == scheduling::JobState::kSucceeded);
-  CheckClean();
+  CheckNoViolations();
 }
 
-// A follower answers for a worker that says what is committed, though the word
-// of another room is still to be committed; with that it passes the next on.
-TEST_CASE_FIXTURE(ShrinkingRoomFixture,
-                  "Dispatcher, follower answers while another word is being "
-                  "committed, the next word is passed on") {
-  world.Resize("w0", kSmall);
+// A follower answers an announcement that matches the committed capacity, even
+// while another capacity is still to be committed. Once that is committed, it
+// passes the next announcement on to the leader.
+TEST_CASE_FIXTURE(ShrinkingCapacityFixture,
+                  "Dispatcher, follower answers while another announcement is "
+                  "being committed, the next one is passed on") {
+  world.Resize("w0", kSmallCapacity);
   world.Advance(Millis(500));
   const scheduling::WorkerInfo small = world.ledger().FindWorker("w0")->info;
   scheduling::WorkerInfo large = small;
@@ -222,16 +223,16 @@
   world.SlowCommits(Millis(300));
   world.Announce(large, 4);
   world.Mute("w0", true);
-  const AnnounceWorker word{small, 5, WallTime(Millis(1))};
-  CHECK(world.AskFollower(word).outcome == Outcome::kOk);
+  const AnnounceWorker announcement{small, 5, WallTime(Millis(1))};
+  CHECK(world.AskFollower(announcement).outcome == Outcome::kOk);
   world.Advance(Millis(500));
   CHECK(world.ledger().FindWorker("w0")->info.capacity == large.capacity);
-  CHECK(world.AskFollower(word).outcome == Outcome::kUnavailable);
+  CHECK(world.AskFollower(announcement).outcome == Outcome::kUnavailable);
 }
 
-// A change of leader must not keep a deployment from its work.
-TEST_CASE_FIXTURE(ShrinkingRoomFixture,
-                  "Dispatcher, new leader, workers were heard by others "
+// Guards against a change of leader that delays work.
+TEST_CASE_FIXTURE(ShrinkingCapacityFixture,
+                  "Dispatcher, new leader and workers that others heard "
                   "lately, work starts at once") {
   world.AddWorkers(38);
   world.Advance(Millis(4'000));
@@ -243,13 +244,13 @@
     CHECK(world.starts() - before == 160);
     world.Advance(Millis(1'300));
   }
-  CheckClean();
+  CheckNoViolations();
 }
 
-// More than go in one message.
-TEST_CASE_FIXTURE(ShrinkingRoomFixture,
-                  "Dispatcher, new leader, hundreds of workers were heard by "
-                  "others lately, all of them get work") {
+// More workers than one message about heard workers can carry.
+TEST_CASE_FIXTURE(ShrinkingCapacityFixture,
+                  "Dispatcher, new leader and hundreds of workers that others "
+                  "heard lately, all of them get work") {
   world.AddWorkers(998);
   world.Advance(Millis(4'000));
   scheduling::StepSpec large = Tasks(1'000);
@@ -258,19 +259,19 @@
   world.Submit("a", {large});
   world.Advance(Millis(700));
   CHECK(world.starts() == 1'000);
-  CheckClean();
+  CheckNoViolations();
 }
 
 TEST_CASE(
-    "Dispatcher, what is committed of a room counts however old it is, "
-    "tasks start over it") {
+    "Dispatcher, age of committed capacity is ignored, starts exceed the "
+    "capacity") {
   DispatchMutations mutations;
   mutations.is_room_age_ignored = true;
   World world(7, mutations);
   world.AddWorkers(2);
   world.Advance(Millis(500));
   world.Mute("w0", true);
-  world.Resize("w0", kSmall);
+  world.Resize("w0", kSmallCapacity);
   world.Advance(Millis(4'600));
   world.ChangeLeader(Millis(0));
   world.Submit("a", {Tasks(12)});
--- a/packages/dispatch/tests/incidents/worker_reborn_test.cc
+++ b/packages/dispatch/tests/incidents/worker_reborn_test.cc
@@ -1,7 +1,7 @@
-// Seen: a task whose run had ended as done, and whose end had been noted, was
-// started again. How: a worker that had crashed came back under its id, counted
-// its ends from 1, and was told to forget those up to the number of its life
-// before. Cause: what is known of a worker's life was kept by the worker's id.
+// Guards against a finished task that is started again after its worker has
+// restarted under the same id. The new incarnation numbers its ended runs from
+// 1 again; if state is kept by worker id alone, the leader acknowledges them by
+// the numbers of the previous incarnation, and the worker forgets them unread.
 
 #include <doctest/doctest.h>
 
@@ -12,10 +12,10 @@
 
 using scheduling::JobState;
 
-// Three workers that have told of some ends each.
-class RebornWorkerFixture {
+// Three workers that have each reported some ended runs.
+class RestartedWorkerFixture {
  protected:
-  RebornWorkerFixture() {
+  RestartedWorkerFixture() {
     world.AddWorkers(3);
     world.Advance(Millis(500));
     for (int round = 0; round < 6; ++round) {
@@ -35,7 +35,7 @@
     }
   }
 
-  void CheckClean() const {
+  void CheckNoViolations() const {
     for (const std::string& violation : world.violations()) {
       FAIL_CHECK(violation);
     }
@@ -47,10 +47,10 @@
   std::vector<std::string> m_jobs;
 };
 
-// Guards against ends of a new life that are forgotten unread.
+// Guards against ended runs of a new incarnation that are forgotten unread.
 TEST_CASE_FIXTURE(
-    RebornWorkerFixture,
-    "Dispatcher, worker is back under its id, its ends are read") {
+    RestartedWorkerFixture,
+    "Dispatcher, worker restarts under its id, its ended runs are read") {
   world.CrashAndBeginAgain("w0", Millis(2'000));
   world.Advance(Millis(2'500));
   for (int round = 0; round < 5; ++round) {
@@ -59,13 +59,13 @@
   }
   world.Advance(Millis(10'000));
   CheckAllDone();
-  CheckClean();
+  CheckNoViolations();
 }
 
-// Guards against runs of the life before that hold its room for good.
-TEST_CASE_FIXTURE(RebornWorkerFixture,
-                  "Dispatcher, worker crashes at work and is back, its tasks "
-                  "go on") {
+// Guards against runs of the previous incarnation that occupy capacity forever.
+TEST_CASE_FIXTURE(RestartedWorkerFixture,
+                  "Dispatcher, worker crashes with running tasks and restarts, "
+                  "tasks complete") {
   Submit(12);
   world.Advance(Millis(100));
   REQUIRE(!world.ledger().FindWorker("w0")->active.empty());
@@ -73,13 +73,13 @@
   world.Advance(Millis(4'000));
   CheckAllDone();
   CHECK(world.ledger().FindWorker("w0")->used == scheduling::Resources());
-  CheckClean();
+  CheckNoViolations();
 }
 
-// Guards against a lease that is counted on the clock of the life before.
-TEST_CASE_FIXTURE(RebornWorkerFixture,
-                  "Dispatcher, worker is back and then cut off, its lease runs "
-                  "out") {
+// Guards against a lease that is measured by the previous incarnation's clock.
+TEST_CASE_FIXTURE(RestartedWorkerFixture,
+                  "Dispatcher, worker restarts and is then cut off, its lease "
+                  "expires") {
   world.CrashAndBeginAgain("w0", Millis(1'000));
   world.Advance(Millis(2'000));
   Submit(12);
@@ -88,12 +88,12 @@
   world.Cut("w0", true);
   world.Advance(Millis(12'000));
   CheckAllDone();
-  CheckClean();
+  CheckNoViolations();
 }
 
-// Guards against a worker that counts as gone, or as draining, for good.
-TEST_CASE_FIXTURE(RebornWorkerFixture,
-                  "Dispatcher, worker is back long after, is given work") {
+// Guards against a worker that counts as gone, or as draining, forever.
+TEST_CASE_FIXTURE(RestartedWorkerFixture,
+                  "Dispatcher, worker restarts after 25 s, is given work") {
   world.CrashAndBeginAgain("w0", Millis(25'000));
   world.Advance(Millis(24'000));
   REQUIRE(world.ledger().FindWorker("w0") == nullptr);
@@ -103,9 +103,9 @@
   CHECK(world.ledger().FindWorker("w0")->active.size() == 4);
 }
 
-TEST_CASE_FIXTURE(RebornWorkerFixture,
-                  "Dispatcher, worker drained before it is back, is given "
-                  "work") {
+TEST_CASE_FIXTURE(RestartedWorkerFixture,
+                  "Dispatcher, worker was draining before it restarts, is "
+                  "given work") {
   scheduling::WorkerInfo draining = world.ledger().FindWorker("w0")->info;
   draining.is_draining = true;
   world.Announce(draining, 9);
@@ -118,10 +118,10 @@
   CHECK(world.ledger().FindWorker("w0")->active.size() == 4);
 }
 
-// Guards against words of the life before that come late.
-TEST_CASE_FIXTURE(RebornWorkerFixture,
-                  "Dispatcher, words of the life before come late, are passed "
-                  "over") {
+// Guards against late announcements of the previous incarnation.
+TEST_CASE_FIXTURE(RestartedWorkerFixture,
+                  "Dispatcher, announcements of the previous incarnation come "
+                  "late, are ignored") {
   const scheduling::WorkerInfo before = world.ledger().FindWorker("w0")->info;
   world.CrashAndBeginAgain("w0", Millis(1'000));
   world.Advance(Millis(2'000));
@@ -135,9 +135,9 @@
   CHECK_FALSE(world.ledger().FindWorker("w0")->info.is_draining);
 }
 
-// Guards against a maintenance that is never seen to be over.
-TEST_CASE_FIXTURE(RebornWorkerFixture,
-                  "Wave, host is back with its worker's id, is done") {
+// Guards against a maintenance whose completion is never detected.
+TEST_CASE_FIXTURE(RestartedWorkerFixture,
+                  "Wave, host returns with its worker's id, is done") {
   world.has_same_ids = true;
   world.OpenWave({"host-w0", "host-w1", "host-w2"});
   world.Advance(Millis(14'000));
--- a/packages/dispatch/tests/relay_test.cc
+++ b/packages/dispatch/tests/relay_test.cc
@@ -9,19 +9,19 @@
 using scheduling::JobState;
 using scheduling::StepSpec;
 
-// Few workers stand for many: the leader calls two itself, and a relay is there
-// for each two.
-constexpr RelayBounds kFew{2, 2};
+// Small bounds, so that few workers are enough: the leader calls up to two
+// workers itself; with more it needs one relay per two workers.
+constexpr RelayBounds kSmallBounds{2, 2};
 
 class RelayFixture {
  protected:
   RelayFixture() {
     world.AddWorkers(4);
     world.AddRelays(3);
-    world.Advance(Millis(4'000));  // All have asked, two are chosen.
+    world.Advance(Millis(4'000));  // All have asked; two are in use.
   }
 
-  void CheckClean() const {
+  void CheckNoViolations() const {
     for (const std::string& violation : world.violations()) {
       FAIL_CHECK(violation);
     }
@@ -29,10 +29,10 @@
 
   uint64_t relays() const { return world.sights()[world.leader()].relays; }
 
-  World world{7, {}, kFew};
+  World world{7, {}, kSmallBounds};
 };
 
-TEST_CASE("Dispatcher, few workers, calls them itself") {
+TEST_CASE("Dispatcher, few workers, calls them directly") {
   World world(7, {}, {4, 2});
   world.AddWorkers(4);
   world.AddRelays(2);
@@ -43,18 +43,18 @@
 }
 
 TEST_CASE_FIXTURE(RelayFixture,
-                  "Dispatcher, many workers, starts go by relays") {
+                  "Dispatcher, many workers, starts go through relays") {
   CHECK(relays() == 2);
   const uint64_t before = world.relayed();
   world.Submit("a", {Step(4), Step(6, {0})});
   world.Advance(Millis(3'000));
   CHECK(world.StateOf("a") == JobState::kSucceeded);
   CHECK(world.relayed() - before >= 10);
-  CheckClean();
+  CheckNoViolations();
 }
 
 TEST_CASE_FIXTURE(RelayFixture,
-                  "Dispatcher, leader's thread is late, its relays stay") {
+                  "Dispatcher, leader's thread is slow, its relays are kept") {
   world.SlowThreads(Millis(300));
   world.Advance(Millis(3'000));
   uint64_t fewest = relays();
@@ -73,12 +73,12 @@
   world.Advance(Millis(20'000));
   CHECK(world.StateOf("a") == JobState::kSucceeded);
   CHECK(world.starts() == 12);
-  CHECK(relays() == 2);  // The third one took its place.
-  CheckClean();
+  CHECK(relays() == 2);  // The third relay replaced it.
+  CheckNoViolations();
 }
 
 TEST_CASE_FIXTURE(RelayFixture,
-                  "Dispatcher, all relays killed, calls workers itself") {
+                  "Dispatcher, all relays killed, calls workers directly") {
   for (size_t relay = 0; relay < 3; ++relay) {
     world.KillRelay(relay);
   }
@@ -86,12 +86,12 @@
   world.Advance(Millis(8'000));
   CHECK(world.StateOf("a") == JobState::kSucceeded);
   CHECK(relays() == 0);
-  CheckClean();
+  CheckNoViolations();
 }
 
 TEST_CASE_FIXTURE(RelayFixture,
-                  "OrderRelay, frozen with orders on their way, gives none of "
-                  "them when it wakes") {
+                  "OrderRelay, frozen with orders on their way, sends none of "
+                  "them when it resumes") {
   const uint64_t before = world.relayed();
   for (size_t relay = 0; relay < 3; ++relay) {
     world.FreezeRelay(relay, Millis(9'000));
@@ -103,21 +103,21 @@
   world.Advance(Millis(600));
   CHECK(world.relayed() == before);
   CHECK(world.starts() == 12);
-  CheckClean();
+  CheckNoViolations();
 }
 
 TEST_CASE_FIXTURE(RelayFixture,
-                  "Dispatcher, relay cut off from control, goes on by others") {
+                  "Dispatcher, relay cut off from the leader, uses others") {
   world.CutRelay(0, true);
   world.Submit("a", {Step(12), Step(8, {0})});
   world.Advance(Millis(15'000));
   CHECK(world.StateOf("a") == JobState::kSucceeded);
   CHECK(world.starts() == 20);
-  CheckClean();
+  CheckNoViolations();
 }
 
 TEST_CASE_FIXTURE(RelayFixture,
-                  "Dispatcher, leader changes, relays go over to the next") {
+                  "Dispatcher, leader changes, relays serve the next one") {
   world.Submit("a", {Step(9), Step(9, {0})});
   world.Advance(Millis(300));
   world.ChangeLeader(Millis(1'000));
@@ -125,14 +125,14 @@
   CHECK(world.StateOf("a") == JobState::kSucceeded);
   CHECK(world.starts() == 18);
   CHECK(relays() == 2);
-  CheckClean();
+  CheckNoViolations();
 }
 
-// Jobs, cancels, cuts, leaders that change and relays that die, freeze and are
-// cut off, from a seed.
-std::vector<std::string> PlayRelays(uint64_t seed,
-                                    const DispatchMutations& mutations) {
-  World world(seed, mutations, kFew);
+// Plays a random schedule: jobs, cancels, workers that are cut off, changes of
+// leader, and relays that die, freeze and are cut off. Returns the violations.
+std::vector<std::string> PlayRelaySchedule(uint64_t seed,
+                                           const DispatchMutations& mutations) {
+  World world(seed, mutations, kSmallBounds);
   world.AddWorkers(5);
   world.AddRelays(6);
   world.Advance(Millis(3'500));
@@ -174,34 +174,36 @@
   }
   world.weather = {};
   world.Advance(Millis(45'000));
-  std::vector<std::string> wrong = world.violations();
+  std::vector<std::string> violations = world.violations();
   for (const std::string& id : jobs) {
     if (world.StateOf(id) < JobState::kSucceeded ||
         world.ledger().FindJob(id)->active_runs > 0) {
-      wrong.push_back(id + " is not over");
+      violations.push_back(id + " is not over");
     }
   }
-  return wrong;
+  return violations;
 }
 
-// LAURELHALL_SEEDS plays more than the fixed set, from LAURELHALL_FIRST_SEED.
+// LAURELHALL_SEEDS plays that many seeds instead of the fixed set, starting
+// from LAURELHALL_FIRST_SEED.
 TEST_CASE(
     "Dispatcher, seeded failures of relays, nothing runs twice or is lost") {
   for (const uint64_t seed : SeedsToPlay(40)) {
-    for (const std::string& wrong : PlayRelays(seed, {})) {
-      FAIL_CHECK("seed ", seed, ": ", wrong);
+    for (const std::string& violation : PlayRelaySchedule(seed, {})) {
+      FAIL_CHECK("seed ", seed, ": ", violation);
     }
   }
 }
 
-// Showed a fault once; played unchanged.
+// Regression seeds, each with the fault that it showed; they stay as they are.
 TEST_CASE("Dispatcher, seeds of relays that failed before, nothing is lost") {
   const uint64_t seeds[] = {
-      1799,  // A repeat that was not sent, told after a stop was taken.
+      // A repeated start that was not sent, reported after a stop was taken.
+      1799,
   };
   for (const uint64_t seed : seeds) {
-    for (const std::string& wrong : PlayRelays(seed, {})) {
-      FAIL_CHECK("seed ", seed, ": ", wrong);
+    for (const std::string& violation : PlayRelaySchedule(seed, {})) {
+      FAIL_CHECK("seed ", seed, ": ", violation);
     }
   }
 }
@@ -211,7 +213,7 @@
   bool DispatchMutations::*step;
 };
 
-TEST_CASE("RelayPool, a step of its protocol left out, the schedules notice") {
+TEST_CASE("RelayPool, a protocol step is left out, the schedules detect it") {
   const Mutant mutants[] = {
       {"term ignored", &DispatchMutations::is_relay_term_ignored},
       {"handed order forgotten", &DispatchMutations::is_handed_order_forgotten},
@@ -220,11 +222,11 @@
   for (const Mutant& mutant : mutants) {
     DispatchMutations mutations;
     mutations.*mutant.step = true;
-    bool is_noticed = false;
-    for (uint64_t seed = 1; seed <= 60 && !is_noticed; ++seed) {
-      is_noticed = !PlayRelays(seed, mutations).empty();
+    bool is_detected = false;
+    for (uint64_t seed = 1; seed <= 60 && !is_detected; ++seed) {
+      is_detected = !PlayRelaySchedule(seed, mutations).empty();
     }
-    CHECK_MESSAGE(is_noticed, std::string(mutant.name));
+    CHECK_MESSAGE(is_detected, std::string(mutant.name));
   }
 }
 
--- a/packages/dispatch/tests/remote_test.cc
+++ b/packages/dispatch/tests/remote_test.cc
@@ -7,7 +7,8 @@
 namespace laurelhall::dispatch {
 namespace {
 
-/// An entry host whose leader is silent until `answer` is set.
+/// An entry host's scheduler whose leader gives no answers until `answer` is
+/// set.
 class RemoteFixture {
  protected:
   RemoteFixture() : remote(MakeInit()) {}
@@ -17,13 +18,13 @@
     init.timers = &timers;
     init.post = [](const std::function<void()>& task) { task(); };
     init.ask = [this](const scheduling::LeaderRequest& request, auto done) {
-      ++asked;
-      reads += request.is_read ? 1 : 0;
+      ++request_count;
+      read_count += request.is_read ? 1 : 0;
       if (answer) {
         done(scheduling::Encode(Reply(*answer)), false);
         return;
       }
-      // The daemon that was asked lost its leader after it had passed it on.
+      // The asked daemon passed the request on and then lost its leader.
       timers.SubscribeOnce(
           std::max(Millis(0),
                    std::chrono::floor<Millis>(request.deadline - timers.Now())),
@@ -32,7 +33,7 @@
     return init;
   }
 
-  // Milliseconds until the answer.
+  // Returns the milliseconds until the answer.
   int64_t Ask(Request request) {
     std::optional<SteadyTime> answered_at;
     const SteadyTime asked_at = timers.Now();
@@ -49,8 +50,8 @@
 
   ManualTimerService timers;
   std::optional<Reply> answer;
-  int asked = 0;
-  int reads = 0;
+  int request_count = 0;
+  int read_count = 0;
   Outcome outcome = Outcome::kCount;
   RemoteScheduler remote;
 };
@@ -62,37 +63,38 @@
   CHECK(outcome == Outcome::kOk);
 }
 
-// Failed first: a count that had waited told of a newer configuration than an
-// answer to a question that was asked later.
+// Guards against a count that waits and then reflects a newer configuration
+// than the answer to a later request.
 TEST_CASE_FIXTURE(RemoteFixture, "Remote, no leader, count is soon given up") {
   CHECK(Ask(CountWaiting{"q", "/q/"}) <= 200);
   CHECK(outcome == Outcome::kUnavailable);
 }
 
-// Failed first: whether a read was carried out made it seem not known.
-TEST_CASE_FIXTURE(RemoteFixture, "Remote, no leader, a read has not run") {
+// Guards against a read whose outcome is reported as unknown only because it
+// may have been carried out.
+TEST_CASE_FIXTURE(RemoteFixture, "Remote, no leader, read is unavailable") {
   Ask(GetJob{"q", "/q/a", "a"});
   CHECK(outcome == Outcome::kUnavailable);
 }
 
-// Failed first: a caller was held to the end of its time for the sake of a
-// clear answer.
+// Guards against a caller that is kept waiting until its deadline for the sake
+// of a definite outcome.
 TEST_CASE_FIXTURE(RemoteFixture,
-                  "Remote, no leader, a job handed in may have been taken") {
+                  "Remote, no leader, submission has an unknown outcome") {
   CHECK(Ask(SubmitJob{"q", "/q/a", "a", {}}) <= 1'200);
   CHECK(outcome == Outcome::kUnknown);
 }
 
-TEST_CASE_FIXTURE(RemoteFixture, "Remote, a job is asked for, is a read") {
+TEST_CASE_FIXTURE(RemoteFixture, "Remote, job is queried, is sent as a read") {
   answer = Reply();
   answer->outcome = Outcome::kOk;
   Ask(GetJob{"q", "/q/a", "a"});
-  CHECK(reads == 1);
+  CHECK(read_count == 1);
   Ask(CancelJob{"q", "/q/a", "a"});
-  CHECK(reads == 1);
+  CHECK(read_count == 1);
 }
 
-// Each probe is a question to the leader beside those of the callers.
+// Guards against probes that add to the leader's load without need.
 TEST_CASE_FIXTURE(RemoteFixture, "Remote, callers are answered, no probe") {
   answer = Reply();
   answer->outcome = Outcome::kOk;
@@ -100,19 +102,19 @@
     Ask(GetJob{"q", "/q/a", "a"});
     timers.Advance(Millis(200));
   }
-  CHECK(asked == 20);
+  CHECK(request_count == 20);
 }
 
-TEST_CASE_FIXTURE(RemoteFixture, "Remote, nobody asks, leader is probed") {
+TEST_CASE_FIXTURE(RemoteFixture, "Remote, no requests, leader is probed") {
   answer = Reply();
   answer->outcome = Outcome::kOk;
   timers.Advance(Seconds(10));
-  CHECK(asked >= 9);
+  CHECK(request_count >= 9);
   CHECK(remote.is_connected());
 }
 
 TEST_CASE_FIXTURE(RemoteFixture,
-                  "Remote, one caller has little time, others are taken in") {
+                  "Remote, one caller has little time, others are admitted") {
   remote.Ask(GetJob{"q", "/q/a", "a"}, Millis(200), [](const Reply&) {});
   timers.Advance(Millis(200));  // It was given up after 80 ms.
   int refused = 0;
@@ -124,7 +126,7 @@
 }
 
 TEST_CASE_FIXTURE(RemoteFixture,
-                  "Remote, no leader for half a second, limit is as before") {
+                  "Remote, no leader for half a second, limit is unchanged") {
   answer = Reply();
   answer->outcome = Outcome::kUnavailable;
   int served = 0;
@@ -148,7 +150,7 @@
 }
 
 TEST_CASE_FIXTURE(RemoteFixture,
-                  "Remote, no leader for a moment, more callers than the limit "
+                  "Remote, no leader for 200 ms, more callers than the limit "
                   "are served") {
   answer = Reply();
   answer->outcome = Outcome::kUnavailable;
@@ -165,7 +167,7 @@
   CHECK(served == 16);
 }
 
-// Else callers are turned away by each change of leaders.
+// Guards against callers that are refused at each change of leader.
 TEST_CASE_FIXTURE(RemoteFixture,
                   "Remote, leader is lost, callers wait for the next one") {
   answer = Reply();
--- a/packages/dispatch/tests/room_schedule_test.cc
+++ b/packages/dispatch/tests/room_schedule_test.cc
@@ -2,16 +2,16 @@
 
 #include "world.h"
 
-// Rooms that shrink and grow while workers are not heard for a while, and
-// leaders change, freeze or stand still.
+// Random schedules in which worker capacities shrink and grow while workers are
+// not heard for a while, and leaders change, freeze or pause.
 namespace laurelhall::dispatch {
 namespace {
 
 constexpr int kWorkers = 4;
 
-class RoomSchedule {
+class CapacitySchedule {
  public:
-  RoomSchedule(uint64_t seed, const DispatchMutations& mutations)
+  CapacitySchedule(uint64_t seed, const DispatchMutations& mutations)
       : m_world(seed, mutations) {
     m_world.AddWorkers(kWorkers);
     m_world.weather = {Pick(0, 2) * 0.03, Pick(0, 2) * 0.03, 0, 0};
@@ -24,20 +24,20 @@
       DisturbWorkers();
       DisturbLeader();
       m_world.Advance(Millis(Pick(50, 1'200)));
-      HearAll();
+      UnmuteAll();
     }
     for (int worker = 0; worker < kWorkers; ++worker) {
       m_world.Resize("w" + std::to_string(worker), {4'000, 16'000, 0});
     }
     m_world.weather = {};
     m_world.Advance(Millis(60'000));
-    std::vector<std::string> wrong = m_world.violations();
+    std::vector<std::string> violations = m_world.violations();
     for (const std::string& job : m_jobs) {
       if (m_world.StateOf(job) != scheduling::JobState::kSucceeded) {
-        wrong.push_back(job + " is not done");
+        violations.push_back(job + " is not done");
       }
     }
-    return wrong;
+    return violations;
   }
 
  private:
@@ -75,7 +75,7 @@
     }
   }
 
-  void HearAll() {
+  void UnmuteAll() {
     for (int worker = 0; worker < kWorkers; ++worker) {
       m_world.Mute("w" + std::to_string(worker), false);
     }
@@ -85,24 +85,26 @@
   std::vector<std::string> m_jobs;
 };
 
-TEST_CASE("Dispatcher, seeded rooms and leaders, no start is over a room") {
+TEST_CASE(
+    "Dispatcher, seeded changes of capacity and leader, no start exceeds a "
+    "capacity") {
   for (const uint64_t seed : SeedsToPlay(60)) {
-    for (const std::string& wrong : RoomSchedule(seed, {}).Play()) {
-      FAIL_CHECK("seed ", seed, ": ", wrong);
+    for (const std::string& violation : CapacitySchedule(seed, {}).Play()) {
+      FAIL_CHECK("seed ", seed, ": ", violation);
     }
   }
 }
 
 TEST_CASE(
-    "Dispatcher, what is committed of a room counts however old it is, the "
-    "schedules notice") {
+    "Dispatcher, age of committed capacity is ignored, the schedules detect "
+    "it") {
   DispatchMutations mutations;
   mutations.is_room_age_ignored = true;
-  bool is_noticed = false;
-  for (uint64_t seed = 1; seed <= 60 && !is_noticed; ++seed) {
-    is_noticed = !RoomSchedule(seed, mutations).Play().empty();
+  bool is_detected = false;
+  for (uint64_t seed = 1; seed <= 60 && !is_detected; ++seed) {
+    is_detected = !CapacitySchedule(seed, mutations).Play().empty();
   }
-  CHECK(is_noticed);
+  CHECK(is_detected);
 }
 
 }  // namespace
