--- a/packages/dispatch/src/leadership_p.h
+++ b/packages/dispatch/src/leadership_p.h
@@ -427,7 +427,7 @@
   void OnStartReply(const RunKey& key,
                     uint64_t incarnation,
                     const CallReply& reply);
-  void OnStartRefused(const RunKey& key, RunTrack& track);
+  void GiveUpStart(const RunKey& key, RunTrack& track);
   void SendStop(const RunKey& key, RunTrack& track);
   bool IsStopStillDue(const RunKey& key);
   void OnStopReply(const RunKey& key,
--- a/packages/dispatch/src/orders.cc
+++ b/packages/dispatch/src/orders.cc
@@ -127,7 +127,7 @@
   }
   if (ExceedsWorkerCapacity(ledger, *job, key, track) ||
       ExceedsOrganisationCap(ledger, *job, key, track)) {
-    OnStartRefused(key, track);
+    GiveUpStart(key, track);
     return;
   }
   track.start = StartStage::kSending;
@@ -197,7 +197,7 @@
   }
   if (Now() - std::max(m_rooms_since, link.first_contact) >
       kCapacityReportTimeout) {
-    OnStartRefused(key, track);
+    GiveUpStart(key, track);
     return true;
   }
   track.start = StartStage::kRetry;
@@ -297,14 +297,14 @@
         track.start = is_settled ? StartStage::kSettled : StartStage::kRetry;
         track.next_try = Now() + kOrderRetryDelay;
       } else {
-        OnStartRefused(key, track);
+        GiveUpStart(key, track);
       }
       break;
     case CallOutcome::kNoTicket:
       // Which workers may run the job is unknown, so the job is deferred rather
       // than tried on another worker at once.
       m_planner.Defer(key.task.job, Now() + kNoTicketDelay);
-      OnStartRefused(key, track);
+      GiveUpStart(key, track);
       break;
     default:
       // The worker has less capacity than reported, or is unhealthy: others are
@@ -312,14 +312,14 @@
       if (link != m_links.end()) {
         link->second.paused_until = Now() + kRefusalPause;
       }
-      OnStartRefused(key, track);
+      GiveUpStart(key, track);
       break;
   }
 }
 
-// This start was certainly not carried out. An earlier unanswered start of the
-// same run still may be, until the worker has taken a stop for it.
-void Leadership::OnStartRefused(const RunKey& key, RunTrack& track) {
+// Gives up a start that was certainly not carried out. An earlier unanswered
+// start of the same run still may be, until the worker has taken a stop for it.
+void Leadership::GiveUpStart(const RunKey& key, RunTrack& track) {
   if (track.is_listed) {
     return;  // The run has started; only the repeated start was refused.
   }
