--- a/packages/dispatch/src/leadership_p.h
+++ b/packages/dispatch/src/leadership_p.h
@@ -148,15 +148,15 @@
   bool is_lapse_under_way = false;  ///< WorkerLapsed is being committed.
   /// Its lease lapsed, and no hold call was answered since.
   bool is_lapsed = false;
-  bool is_gone_under_way = false;  ///< LifeEnded is being committed.
-  bool is_first_look = true;       ///< Its first list is not committed yet.
-  bool is_silent = false;          ///< The last hold call was not answered.
+  bool is_gone_under_way = false;      ///< LifeEnded is being committed.
+  bool is_awaiting_first_list = true;  ///< Its first list is not committed yet.
+  bool is_silent = false;              ///< The last hold call was not answered.
   /// A hold call is open, or the ends that it listed are being committed.
   bool is_hold_under_way = false;
   bool is_renewal_under_way = false;
   SteadyTime next_hold{};
   SteadyTime next_renewal{};
-  SteadyTime leased_at{};  ///< Start of the lease that was last requested.
+  SteadyTime lease_start{};  ///< Start of the lease that was last requested.
   SteadyTime last_contact{};
   SteadyTime last_listed{};  ///< When it last listed its runs.
   SteadyTime first_contact{};
@@ -437,60 +437,68 @@
   // orders.cc: calls to workers.
   void SendOrders(const Ledger& ledger);
   void SendStart(const Ledger& ledger, const RunKey& key, RunTrack& track);
-  bool HoldsBackForRoom(const scheduling::Job& job,
-                        const RunKey& key,
-                        RunTrack& track,
-                        const WorkerLink& link);
-  bool IsStillToStart(const RunKey& key, uint64_t life);
-  bool IsOverRoom(const Ledger& ledger,
-                  const scheduling::Job& job,
-                  const RunKey& key,
-                  const RunTrack& track) const;
-  bool IsOverCap(const Ledger& ledger,
-                 const scheduling::Job& job,
-                 const RunKey& key,
-                 const RunTrack& track) const;
-  void OnStarted(const RunKey& key, uint64_t life, const CallReply& reply);
-  void OnStartRefused(const RunKey& key, RunTrack& track);
+  bool DeferForUnknownCapacity(const scheduling::Job& job,
+                               const RunKey& key,
+                               RunTrack& track,
+                               const WorkerLink& link);
+  bool IsStartStillDue(const RunKey& key, uint64_t incarnation);
+  bool ExceedsWorkerCapacity(const Ledger& ledger,
+                             const scheduling::Job& job,
+                             const RunKey& key,
+                             const RunTrack& track) const;
+  bool ExceedsOrganisationCap(const Ledger& ledger,
+                              const scheduling::Job& job,
+                              const RunKey& key,
+                              const RunTrack& track) const;
+  void OnStartReply(const RunKey& key,
+                    uint64_t incarnation,
+                    const CallReply& reply);
+  void GiveUpStart(const RunKey& key, RunTrack& track);
   void SendStop(const RunKey& key, RunTrack& track);
   bool IsStopStillDue(const RunKey& key);
-  void OnStopped(const RunKey& key, uint64_t life, const CallReply& reply);
+  void OnStopReply(const RunKey& key,
+                   uint64_t incarnation,
+                   const CallReply& reply);
   void SendHolds(const Ledger& ledger);
   void SendHold(const std::string& worker, WorkerLink& link, Millis wait);
-  void OnHeld(const std::string& worker,
-              uint64_t life,
-              SteadyTime asked_at,
-              const HoldReply& reply);
-  bool IsOfThisLife(const std::string& worker,
-                    WorkerLink& link,
-                    const HoldReply& reply);
-  void TakeLists(const std::string& worker,
-                 SteadyTime asked_at,
-                 const HoldReply& reply);
-  void DropOlderLives(const Ledger& ledger,
+  void OnHoldReply(const std::string& worker,
+                   uint64_t incarnation,
+                   SteadyTime asked_at,
+                   const HoldReply& reply);
+  bool CheckIncarnation(const std::string& worker,
+                        WorkerLink& link,
+                        const HoldReply& reply);
+  void ProcessRunLists(const std::string& worker,
+                       SteadyTime asked_at,
+                       const HoldReply& reply);
+  void EndOlderWorkersOnHost(const Ledger& ledger,
+                             const std::string& worker,
+                             Records& records);
+  void RecordEndedRuns(const Ledger& ledger,
+                       const std::string& worker,
+                       const HoldReply& reply,
+                       Records& records);
+  void UpdateRunningRuns(const Ledger& ledger,
+                         const std::string& worker,
+                         const HoldReply& reply);
+  void EndMissingRuns(const Ledger& ledger,
                       const std::string& worker,
+                      SteadyTime asked_at,
+                      const HoldReply& reply,
                       Records& records);
-  void TakeEnds(const Ledger& ledger,
-                const std::string& worker,
-                const HoldReply& reply,
-                Records& records);
-  void TakeRunning(const Ledger& ledger,
-                   const std::string& worker,
-                   const HoldReply& reply);
-  void FindMissing(const Ledger& ledger,
-                   const std::string& worker,
-                   SteadyTime asked_at,
-                   const HoldReply& reply,
-                   Records& records);
-  void Pace(const Ledger& ledger, WorkerLink& link, const HoldReply& reply);
+  void PaceFillingTasks(const Ledger& ledger,
+                        WorkerLink& link,
+                        const HoldReply& reply);
   void SendPace(const PaceOrder& order);
-  void Weigh(const Ledger& ledger,
-             WorkerLink& link,
-             const EndedRun& ended,
-             const RunTrack* track);
-  void CommitEnds(const std::string& worker, uint64_t seen, Records records);
-  void EndLife(const WorkerLife& life, const char* why);
-  void EndAnswering(const std::string& worker);
+  void LearnFromEndedRun(const Ledger& ledger,
+                         WorkerLink& link,
+                         const EndedRun& ended,
+                         const RunTrack* track);
+  void CommitEndedRuns(const std::string& worker,
+                       uint64_t last_end,
+                       Records records);
+  void EndLife(const WorkerLife& incarnation, const char* why);
+  void EndReplacedIncarnation(const std::string& worker);
 
   // crashes.cc: lost workers and their runs.
   void EndWorker(const Ledger& ledger,
@@ -550,17 +558,18 @@
                      const scheduling::Worker& worker) const;
   bool AreRunsSeenAtWork(const Ledger& ledger,
                          const scheduling::Worker& worker) const;
-  HoldOrder MakeHold(WorkerLink& link, Millis wait);
-  bool MayLease(const WorkerLink& link) const;
-  bool IsLeaseDue(const WorkerLink& link) const;
-  bool IsRenewalDue(const WorkerLink& link) const;
+  HoldOrder MakeHoldOrder(WorkerLink& link, Millis wait);
+  bool MayExtendLease(const WorkerLink& link) const;
+  bool IsLeaseExtensionDue(const WorkerLink& link) const;
+  bool IsSeparateRenewalDue(const WorkerLink& link) const;
   void RenewLease(const std::string& worker, WorkerLink& link);
-  void OnLeaseRenewed(const std::string& worker,
-                      uint64_t life,
-                      const HoldReply& reply);
-  void Contact(WorkerLink& link, std::optional<scheduling::WorkerTime> clock);
-  /// Whether this thread lacks processor time, so that its ticks come late.
-  bool IsBehind() const { return m_tick_lag > kHighTickLag; }
+  void OnLeaseRenewalReply(const std::string& worker,
+                           uint64_t incarnation,
+                           const HoldReply& reply);
+  void RecordContact(WorkerLink& link,
+                     std::optional<scheduling::WorkerTime> clock);
+  /// Whether this thread is short of processor time, so that ticks come late.
+  bool IsTickLagHigh() const { return m_tick_lag > kHighTickLag; }
   Millis OrderTimeout() const {
     return m_order_answer_time.Timeout() + OwnDelay();
   }
