--- a/packages/dispatch/include/laurelhall/dispatch/dispatcher.h
+++ b/packages/dispatch/include/laurelhall/dispatch/dispatcher.h
@@ -14,29 +14,30 @@
 
 namespace laurelhall::dispatch {
 
-/// Bounds that the deployment states.
+/// Time bounds set by the deployment.
 struct DispatchBounds {
-  Millis longest_lease{6'000};  ///< What workers grant at most.
-  Millis maintenance{2'000};    ///< How long a host is down for it.
-  Millis job_memory{150'000};   ///< An ended job is known for so long.
-  /// How long a leader acts on a quorum's word: the log's shortest election
-  /// time, 600 ms, less what clocks and rounding may take of it.
+  Millis longest_lease{6'000};  ///< The longest lease that workers grant.
+  Millis maintenance{2'000};    ///< How long maintenance keeps a host down.
+  Millis job_memory{150'000};   ///< How long an ended job is remembered.
+  /// How long a leader may act after a quorum confirmed it: the log's shortest
+  /// election timeout, 600 ms, less a margin for clock and rounding errors.
   Millis leader_lease{500};
 };
 
-/// From when on, and by how many hosts, calls to workers are relayed.
+/// When calls to workers are made by relays, and by how many of them.
 struct RelayBounds {
-  /// So many workers the leader calls itself: their starts leave its processor
-  /// time enough.
+  /// Up to this many workers are called by the leader itself; starting tasks
+  /// on them leaves it enough processor time.
   size_t own_workers = 128;
-  /// One more relay for each so many, as far as there are control hosts.
+  /// One relay is added per this many workers, as long as there are control
+  /// hosts to take the role.
   size_t workers_per_relay = 48;
-  /// Connections to workers that a leader opens while its relays are still to
-  /// come: a quarter of the descriptors of a small host.
+  /// The most connections to workers that a leader opens before its relays have
+  /// joined: a quarter of a small host's file descriptors.
   size_t most_direct = 1'024;
 };
 
-/// Counts since the process started.
+/// Event counts since the process started.
 struct DispatchCounters {
   uint64_t starts = 0;
   uint64_t ends = 0;
@@ -45,55 +46,68 @@
   uint64_t jobs = 0;
   uint64_t lapses = 0;
   uint64_t unknown_calls = 0;
-  uint64_t crashes = 0;   ///< Workers that went down without a word.
-  uint64_t given_up = 0;  ///< Jobs with a task that crashes its workers.
+  uint64_t crashes = 0;   ///< Workers that went down without announcing it.
+  uint64_t given_up = 0;  ///< Jobs ended because a task crashes its workers.
 };
 
-/// How many there are of a kind, whose name lasts as long as the program.
+/// A count labelled with the name of what is counted.
 struct NamedCount {
-  const char* name;
+  const char* name;  ///< Has static storage duration.
   uint64_t count = 0;
 };
 
-/// What a leader sees, a second old at most; all 0 where this host leads not.
+/// A leader's view of its work, at most one second old. All values are 0 on a
+/// host that does not lead.
 struct DispatchSight {
-  Millis tick_lag{0};               ///< By how much its ticks come late.
-  uint64_t relays = 0;              ///< Hosts that make calls for it.
-  uint64_t open_jobs = 0;           ///< Neither over nor cancelled.
-  uint64_t waiting_jobs = 0;        ///< Open for a second with nothing at work.
+  Millis tick_lag{0};         ///< How late its timer ticks come.
+  uint64_t relays = 0;        ///< Hosts that call workers for the leader.
+  uint64_t open_jobs = 0;     ///< Neither ended nor cancelled.
+  uint64_t waiting_jobs = 0;  ///< Open for a second without a running task.
   std::vector<NamedCount> workers;  ///< By whether they may be given work.
-  /// The longest waiting jobs, a few, by what is in their way.
+  /// A few of the jobs that have waited longest, by what they wait for.
   std::vector<NamedCount> waits;
 
-  /// Sets all to 0; kinds keep their names, so that nothing old stays shown.
+  /// Sets all values to 0 and keeps the names of the counts, so that a metric
+  /// of each name goes on being exported, with 0 instead of its last value.
   void Clear();
 };
 
-/// Steps left out on purpose, so that tests show they are needed.
+/// Disables single safety steps, so that tests can show that each is needed.
 struct DispatchMutations {
-  bool is_end_seen_early = false;      ///< Tells an end as seen, then commits.
-  bool is_lease_ignored = false;       ///< A silent worker's runs are over.
-  bool is_barring_skipped = false;     ///< A start not answered is forgotten.
-  bool is_fence_old = false;           ///< Gives orders with an old fence.
-  bool is_lead_assumed = false;        ///< Acts without a quorum's recent word.
-  bool is_relay_term_ignored = false;  ///< Takes results of an earlier term.
-  bool is_handed_order_forgotten = false;  ///< A lost relay sent nothing.
-  bool is_birth_ignored = false;     ///< Any life under an id is the same.
-  bool is_cap_planned_only = false;  ///< A planned start is sent over a cap.
-  bool is_room_age_ignored = false;  ///< Starts by what is committed of a room.
+  /// Acknowledges the end of a run to its worker before that is committed.
+  bool is_end_seen_early = false;
+  /// Treats the runs of a silent worker as ended before its lease runs out.
+  bool is_lease_ignored = false;
+  /// Forgets a start that was not answered, without stopping the run first.
+  bool is_barring_skipped = false;
+  /// Sends orders with an outdated fence.
+  bool is_fence_old = false;
+  /// Acts without a recent confirmation by a quorum.
+  bool is_lead_assumed = false;
+  /// Accepts a relay's results of an earlier term.
+  bool is_relay_term_ignored = false;
+  /// Assumes that a lost relay sent none of the orders that it was given.
+  bool is_handed_order_forgotten = false;
+  /// Takes all incarnations of a worker with the same id for one.
+  bool is_birth_ignored = false;
+  /// Checks an organisation's cap when it plans a start, not when it sends it.
+  bool is_cap_planned_only = false;
+  /// Starts runs on a worker by its committed capacity, however old that is.
+  bool is_room_age_ignored = false;
 };
 
 struct DispatcherInit {
-  std::string name;  ///< Of this daemon, as the holder of hosts.
+  std::string name;  ///< Of this daemon; names the holder in acts on hosts.
   DispatchBounds bounds;
   RelayBounds relays;
-  TimerService* timers = nullptr;  ///< Its callbacks come on the one thread.
+  TimerService* timers = nullptr;  ///< Runs callbacks on the dispatch thread.
   WorkerPort* workers = nullptr;
   HostPort* hosts = nullptr;
-  /// Runs a function on the one thread, soon. Thread-safe.
+  /// Queues a function for the dispatch thread. Thread-safe.
   std::function<void(std::function<void()>)> post;
-  /// Asks the leader once, where that is another host; its answer, or none, may
-  /// come on any thread. Empty: what is heard here is not passed on.
+  /// Sends one request to the leader when that is another host, without a
+  /// retry. `done` may be called on any thread, with no value when there was no
+  /// answer. Empty: announcements to this host are not forwarded.
   std::function<void(const std::string& request,
                      SteadyTime deadline,
                      std::function<void(std::optional<std::string>)> done)>
@@ -104,13 +118,14 @@
   DispatchMutations mutations;  ///< None in production.
 };
 
-/// The scheduling on one control host: answers requests, and while this host
-/// leads, starts, watches and stops tasks.
+/// The scheduler of one control host. Answers requests, and while this host is
+/// the leader, starts, monitors and stops tasks.
 ///
-/// @remarks All work is done on one thread, that of the timers; LogService's
-///   calls and Handle() may come from any. Every start, end and cancel is
-///   committed before it is acted on or told, with the leader's term as fence;
-///   so the next leader knows all that may run.
+/// @remarks All work is done on the dispatch thread, which is that of the
+///   timers. LogService's functions and Handle() may be called on any thread.
+///   Every start, end and cancellation is committed before it is acted on or
+///   reported, with the leader's term as fence, so that the next leader knows
+///   every run that may exist.
 class Dispatcher final : public scheduling::LogService {
  public:
   explicit Dispatcher(const DispatcherInit& init);
@@ -122,16 +137,16 @@
   void Handle(std::string request,
               std::function<void(std::string)> done) override;
 
-  /// Answers a request that came to this daemon; thread-safe. `done` comes
-  /// once, on the one thread.
+  /// Answers a request that came to this daemon. Thread-safe. `done` is called
+  /// once, on the dispatch thread.
   void Ask(Request request, ReplyDone done);
 
   bool is_leading() const;
 
-  /// Thread-safe; a moment old.
+  /// As of the last update by the dispatch thread. Thread-safe.
   DispatchCounters counters() const;
 
-  /// Thread-safe; a moment old.
+  /// As of the last update by the dispatch thread. Thread-safe.
   DispatchSight sight() const;
 
  private:
--- a/packages/dispatch/include/laurelhall/dispatch/request.h
+++ b/packages/dispatch/include/laurelhall/dispatch/request.h
@@ -9,17 +9,17 @@
 #include "laurelhall/scheduling/record.h"
 #include "laurelhall/scheduling/worker_clock.h"
 
-// What callers, workers and operators ask of the scheduling, and what they are
-// answered; also the form in which daemons pass it on to the leader.
+// Requests of callers, workers and operators to the scheduler, and its replies.
+// Daemons forward requests to the leader in the same encoding.
 namespace laurelhall::dispatch {
 
-/// Hands a job in; the same id again is the same job.
+/// Submits a job. Idempotent: a known id stands for the job that has it.
 struct SubmitJob {
   std::string host;
-  std::string path;  ///< The queue's prefix and the id.
+  std::string path;  ///< The queue's path prefix, followed by the id.
   std::string id;
   scheduling::JobSpec spec;
-  std::string key;  ///< Fingerprint of the caller's key; empty: none given.
+  std::string key;  ///< Fingerprint of the caller's API key; empty for none.
 };
 
 struct GetJob {
@@ -36,7 +36,7 @@
   std::string key;  ///< As in SubmitJob.
 };
 
-/// How many jobs of a queue wait for their first start.
+/// Asks how many jobs of a queue wait for their first start.
 struct CountWaiting {
   std::string host;
   std::string path;
@@ -49,60 +49,62 @@
 
 struct GetConfiguration {};
 
-/// A worker says that it lives, or that it is about to leave.
+/// A worker's announcement that it is alive, or that it is draining.
 struct AnnounceWorker {
   scheduling::WorkerInfo info;
-  uint64_t sequence = 0;  ///< Rises with each word of its life; 0: not told.
-  WallTime born{};        ///< When its life began; zero: not told.
-  /// When it said so, on its own clock; zero: not told.
+  /// Rises with each announcement of one incarnation; 0 if unknown.
+  uint64_t sequence = 0;
+  WallTime born{};  ///< When its incarnation started; zero if unknown.
+  /// When it was sent, by the worker's own clock; zero if unknown.
   scheduling::WorkerTime clock{0};
 
   bool operator==(const AnnounceWorker&) const = default;
 };
 
-/// A worker says that its life ends now.
+/// A worker's notice that it shuts down now.
 struct WorkerLeaves {
   std::string id;
 };
 
+/// Starts the maintenance of a set of hosts.
 struct OpenWave {
-  uint64_t wave = 0;
+  uint64_t wave = 0;  ///< Its number.
   std::vector<std::string> hosts;
-  Millis duration{0};
-  uint32_t most_at_once = 1;
+  Millis duration{0};         ///< Within which all hosts are to be done.
+  uint32_t most_at_once = 1;  ///< The most hosts down at a time.
 };
 
 struct GetWave {
   uint64_t wave = 0;
 };
 
-/// A relay brings what became of its orders and asks for more; see relayed.h.
+/// A relay reports the results of its orders and asks for more; see relayed.h.
 struct RelayOrders {
-  std::string relay;  ///< Its name.
+  std::string relay;  ///< The relay's name.
   std::string availability_zone;
-  bool is_leaving = false;  ///< Takes no more orders.
+  bool is_leaving = false;  ///< Accepts no more orders.
   std::vector<RelayedResult> results;
 };
 
-/// An announcement as a control host passes it on.
-struct HeardWorker {
-  AnnounceWorker word;
+/// An announcement as a control host forwards it.
+struct ForwardedAnnouncement {
+  AnnounceWorker announcement;
 };
 
-/// A control host tells the leader which announcements came to it, and learns
-/// which ones the leader is to be told of.
-struct TellHeardWorkers {
-  std::vector<HeardWorker> heard;
+/// A control host forwards the announcements that came to it to the leader. The
+/// answer's epoch tells it which ones it must send again.
+struct ForwardAnnouncements {
+  std::vector<ForwardedAnnouncement> announcements;
 };
 
-/// What the leader answers to TellHeardWorkers.
-struct HeardWorkersAnswer {
-  /// Since when it knows its workers: another number means that it is to be
-  /// told again of those that were heard.
+/// The leader's answer to ForwardAnnouncements.
+struct ForwardAnnouncementsReply {
+  /// Identifies the period in which the leader has kept what it was told. When
+  /// it changes, all recent announcements must be sent again.
   uint64_t epoch = 0;
 };
 
-/// New kinds go to the end: a kind is written as its place.
+/// Append new kinds at the end: the encoding holds the index of the kind.
 using Request = std::variant<SubmitJob,
                              GetJob,
                              CancelJob,
@@ -114,30 +116,33 @@
                              OpenWave,
                              GetWave,
                              RelayOrders,
-                             TellHeardWorkers>;
+                             ForwardAnnouncements>;
 
-/// What became of a request.
+/// The result of a request.
 enum class Outcome : uint8_t {
   kOk,
-  kNoQueue,      ///< No queue takes this host and path.
-  kNoJob,        ///< Not known, or forgotten.
-  kNotFound,     ///< No such wave.
-  kUnavailable,  ///< Surely not done; may be asked again later.
-  kUnknown,      ///< May or may not have been done; asking again is safe.
-  kNoAccess,     ///< No configuration in force holds the caller's key.
+  kNoQueue,      ///< No queue serves this host and path.
+  kNoJob,        ///< The job is unknown or was forgotten.
+  kNotFound,     ///< No such wave, or no such service for a worker.
+  kUnavailable,  ///< Certainly not carried out; may be retried later.
+  kUnknown,      ///< May have been carried out; a retry is safe.
+  kNoAccess,     ///< The configuration in force has no such key for the queue.
   kConflict,     ///< Another organisation has a job of this id.
   kCount,
 };
 
+/// The reply to a request; a request sets only the fields that it uses.
 struct Reply {
   Outcome outcome = Outcome::kUnavailable;
   scheduling::JobState job_state = scheduling::JobState::kCount;
-  uint64_t waiting = 0;
-  /// Of a configuration, as it was sent; for a relay, its RelayedBatch; for
-  /// TellHeardWorkers, its HeardWorkersAnswer.
+  uint64_t waiting = 0;  ///< The number of jobs that CountWaiting asks for.
+  /// For GetConfiguration, the document as it was sent; for RelayOrders, an
+  /// encoded RelayedBatch; for ForwardAnnouncements, an encoded
+  /// ForwardAnnouncementsReply.
   std::string document;
   bool is_wave_done = false;
-  /// With kUnavailable: when to come back. Zero: as the caller likes.
+  /// With kUnavailable, how long to wait before a retry; zero if the caller may
+  /// choose.
   Millis retry_after{0};
 };
 
@@ -183,20 +188,22 @@
   archive.Later(value.clock);
 }
 
-// Within a list nothing may be left out.
+// An element of a list can't have optional trailing fields (Later()), so each
+// field is always written.
 template <typename Archive>
-void Visit(Archive& archive, HeardWorker& value) {
-  AnnounceWorker& word = value.word;
-  archive(word.info, word.sequence, word.born, word.clock);
+void Visit(Archive& archive, ForwardedAnnouncement& value) {
+  AnnounceWorker& announcement = value.announcement;
+  archive(announcement.info, announcement.sequence, announcement.born,
+          announcement.clock);
 }
 
 template <typename Archive>
-void Visit(Archive& archive, TellHeardWorkers& value) {
-  archive(value.heard);
+void Visit(Archive& archive, ForwardAnnouncements& value) {
+  archive(value.announcements);
 }
 
 template <typename Archive>
-void Visit(Archive& archive, HeardWorkersAnswer& value) {
+void Visit(Archive& archive, ForwardAnnouncementsReply& value) {
   archive(value.epoch);
 }
 
--- a/packages/dispatch/src/dispatcher.cc
+++ b/packages/dispatch/src/dispatcher.cc
@@ -17,58 +17,61 @@
 namespace {
 
 constexpr Millis kLogFlush{100};
-// Between two rounds that ask whether this host still leads. A round costs each
-// control host two messages; what it adds to a read is within a tenth of the
-// time after which callers look again.
+// Minimum time between two rounds that confirm with a quorum that this host
+// still leads. A round costs each control host two messages. The pause delays a
+// read by at most a tenth of the interval at which callers poll.
 constexpr Millis kConfirmPause{40};
-// So long a follower answers a worker that repeats itself: a third of the time
-// after which a leader takes a silent one for gone.
-constexpr Millis kPassOn{5'000};
-// When a caller that could not be served may come back: about an election.
-constexpr Millis kComeBack{700};
-// Between two tellings of what was heard here: how long a new leader waits at
-// most before it hears of the workers that others know of.
-constexpr Millis kTellPeriod{200};
-// A leader that does not answer may lead no more, and is not waited for longer.
-constexpr Millis kTellAgain{500};
-// As long as a relay waits: one that gives up sooner would end the connection
-// that both share.
-constexpr Millis kTellTime{1'500};
-// So many announcements go in one message, for the leader's thread to come
-// round between.
-constexpr size_t kMostTold = 500;
-// What was heard is of use to a new leader for so long.
-constexpr Millis kHeardLasts{3'000};
-// Without a leader's answer for so long this host may be cut off.
-constexpr Millis kCutOff{2'000};
-// Digits of a key's fingerprint in a log line: enough to tell keys apart.
-constexpr size_t kShownKey = 12;
+// How long a follower answers a worker's repeated announcement itself before it
+// refers the worker to the leader again: a third of the time after which a
+// leader considers a silent worker gone.
+constexpr Millis kLocalAnswerPeriod{5'000};
+// Retry delay sent to a caller that could not be served: about the duration of
+// an election.
+constexpr Millis kRetryAfter{700};
+// Interval at which announcements are forwarded to the leader; the longest that
+// a new leader waits to learn of the workers that other hosts know.
+constexpr Millis kForwardPeriod{200};
+// Forwarding is tried again after this time without an answer, as the leader
+// may have changed.
+constexpr Millis kForwardRetry{500};
+// Timeout of a forwarding request, the same as a relay's: a request that timed
+// out sooner would close the connection that both share.
+constexpr Millis kForwardCallTimeout{1'500};
+// Announcements per message, so that the leader's thread can do other work
+// between two messages.
+constexpr size_t kMaxForwarded = 500;
+// Announcements older than this are of no use to a new leader.
+constexpr Millis kForwardMaxAge{3'000};
+// After this time without an answer of a leader this host may be cut off.
+constexpr Millis kCutOffTimeout{2'000};
+// Digits of a key's fingerprint in a log line, enough to distinguish keys.
+constexpr size_t kLoggedKeyDigits = 12;
 
 Reply Unavailable() {
   Reply reply;
   reply.outcome = Outcome::kUnavailable;
-  reply.retry_after = kComeBack;
+  reply.retry_after = kRetryAfter;
   return reply;
 }
 
-Reply Done(Outcome outcome) {
+Reply MakeReply(Outcome outcome) {
   Reply reply;
   reply.outcome = outcome;
   return reply;
 }
 
 Reply ReplyOf(Outcome outcome) {
-  return outcome == Outcome::kUnavailable ? Unavailable() : Done(outcome);
+  return outcome == Outcome::kUnavailable ? Unavailable() : MakeReply(outcome);
 }
 
-Reply AfterCommit(CommitOutcome outcome) {
+Reply CommitReply(CommitOutcome outcome) {
   switch (outcome) {
     case CommitOutcome::kCommitted:
-      return Done(Outcome::kOk);
+      return MakeReply(Outcome::kOk);
     case CommitOutcome::kRefused:
       return Unavailable();
     default:
-      return Done(Outcome::kUnknown);
+      return MakeReply(Outcome::kUnknown);
   }
 }
 
@@ -120,7 +123,7 @@
     m_leadership = std::make_shared<Leadership>(init, *m_log, term, m_counters);
     m_is_leading = true;
     m_leadership->Tick();
-    TakeHeard();
+    ApplyAnnouncements();
     PublishCounters();
   }
 
@@ -138,12 +141,12 @@
   void Ask(Request request, const ReplyDone& done) {
     const auto* announced = std::get_if<AnnounceWorker>(&request);
     if (announced != nullptr) {
-      NoteHeard(*announced);
+      RecordAnnouncement(*announced);
     }
     if (m_leadership == nullptr) {
       const bool is_answered =
-          announced != nullptr && RepeatsItself(*announced);
-      done(is_answered ? Done(Outcome::kOk) : Unavailable());
+          announced != nullptr && IsKnownRepeat(*announced);
+      done(is_answered ? MakeReply(Outcome::kOk) : Unavailable());
       return;
     }
     std::visit([&](auto& known) { Run(known, done); }, request);
@@ -164,13 +167,13 @@
  private:
   void Tick() {
     if (m_leadership != nullptr) {
-      // Kept over the call: leadership may end within it.
+      // Kept alive during the calls, which may end the leadership.
       const auto leadership = m_leadership;
       m_relays.Tick(leadership->OwnDelay());
       leadership->Tick();
       PublishCounters();
     } else {
-      TellLeader();
+      ForwardToLeader();
     }
   }
 
@@ -195,21 +198,22 @@
     m_leadership->CommitRequest(
         std::move(record),
         [weak = weak_from_this(), done](CommitOutcome outcome) {
-          done(AfterCommit(outcome));
+          done(CommitReply(outcome));
           if (const auto self = weak.lock()) {
             self->PlanSoon();
           }
         });
   }
 
-  // Reads once it is sure that nothing newer is committed elsewhere. Callers
-  // that come while a confirmation is under way share the next one.
+  // Reads the ledger after a quorum has confirmed that no newer state is
+  // committed elsewhere. Reads that arrive during a confirmation share the next
+  // one.
   void ReadConfirmed(std::function<Reply(const Ledger&)> read,
                      const ReplyDone& done) {
     auto confirmed = [weak = weak_from_this(), read = std::move(read),
-                      done](bool is_sure) {
+                      done](bool is_lead_confirmed) {
       const auto self = weak.lock();
-      if (self == nullptr || !is_sure) {
+      if (self == nullptr || !is_lead_confirmed) {
         done(Unavailable());
         return;
       }
@@ -217,7 +221,7 @@
       self->m_log->Read([&](const Ledger& ledger) { reply = read(ledger); });
       done(reply);
     };
-    // A batch that waits to be committed serves as the question.
+    // Committing a waiting batch confirms the leadership as well.
     if (m_leadership != nullptr && m_leadership->ConfirmWithBatch(confirmed)) {
       return;
     }
@@ -227,7 +231,8 @@
     }
   }
 
-  // At once, but for a pause after the last time: each asks all control hosts.
+  // Confirms at once, or kConfirmPause after the last confirmation, as each one
+  // sends messages to all control hosts.
   void ConfirmSoon() {
     m_is_confirming = true;
     const SteadyTime now = m_init.timers->Now();
@@ -248,26 +253,26 @@
     m_next_confirm = m_init.timers->Now() + kConfirmPause;
     auto waiting = std::make_shared<std::vector<std::function<void(bool)>>>(
         std::exchange(m_to_confirm, {}));
-    m_log->Confirm(
-        [weak = weak_from_this(), post = m_init.post, waiting](bool is_sure) {
-          post([weak, waiting, is_sure] {
-            const auto self = weak.lock();
-            if (self == nullptr) {
-              return;
-            }
-            self->m_is_confirming = false;
-            for (const auto& reader : *waiting) {
-              reader(is_sure);
-            }
-            if (!self->m_to_confirm.empty() && !self->m_is_confirming) {
-              self->ConfirmSoon();
-            }
-          });
-        });
+    m_log->Confirm([weak = weak_from_this(), post = m_init.post,
+                    waiting](bool is_lead_confirmed) {
+      post([weak, waiting, is_lead_confirmed] {
+        const auto self = weak.lock();
+        if (self == nullptr) {
+          return;
+        }
+        self->m_is_confirming = false;
+        for (const auto& reader : *waiting) {
+          reader(is_lead_confirmed);
+        }
+        if (!self->m_to_confirm.empty() && !self->m_is_confirming) {
+          self->ConfirmSoon();
+        }
+      });
+    });
   }
 
-  // Whether a queue takes a caller's requests by the configuration that this
-  // host holds: kOk, kUnavailable before there is one, kNoQueue or kNoAccess.
+  // Whether a queue accepts a caller's requests, by this host's configuration:
+  // kOk, kNoQueue, kNoAccess, or kUnavailable before the first configuration.
   struct Admission {
     Outcome outcome = Outcome::kUnavailable;
     const scheduling::QueueSpec* queue = nullptr;  // With kOk and kNoAccess.
@@ -289,8 +294,8 @@
             std::move(access.organisation)};
   }
 
-  // A newer configuration may hold the queue or the key that this one lacks, so
-  // nobody is turned away before it is sure that there is none.
+  // Refuses a request only after a confirmed read: a newer configuration may
+  // have the queue or the key that this host's configuration lacks.
   template <typename Asked>
   void RefuseConfirmed(const Asked& request, const ReplyDone& done) {
     ReadConfirmed(
@@ -299,29 +304,30 @@
           const Admission admission =
               Admit(ledger, CountWaiting{host, path, key});
           if (admission.outcome == Outcome::kNoAccess) {
-            TellNoAccess(ledger, *admission.queue, key, id);
+            LogNoAccess(ledger, *admission.queue, key, id);
           }
-          // Taken by now: as if asked again.
+          // The queue accepts it by now: the caller is told to retry.
           return admission.outcome == Outcome::kOk ? Unavailable()
                                                    : ReplyOf(admission.outcome);
         },
         done);
   }
 
-  static void TellNoAccess(const Ledger& ledger,
-                           const scheduling::QueueSpec& queue,
-                           const std::string& key,
-                           const std::string& job = "") {
+  static void LogNoAccess(const Ledger& ledger,
+                          const scheduling::QueueSpec& queue,
+                          const std::string& key,
+                          const std::string& job = "") {
     DecisionLog::Get().Write(
         DecisionLine("dispatch", "no-access", LineClass::kRequest)
             .With("job", job)
             .With("queue", queue.name)
             .With("version", ledger.configuration().version)
-            .With("key", key.empty() ? "none" : key.substr(0, kShownKey)));
+            .With("key",
+                  key.empty() ? "none" : key.substr(0, kLoggedKeyDigits)));
   }
 
-  // Another organisation's job is not shown; nobody's is, to all that the queue
-  // lets in.
+  // Finds a job that the caller may see: one of the caller's organisation, or
+  // one of no organisation, which everyone with access to the queue may see.
   static const scheduling::Job* FindOwnJob(const Ledger& ledger,
                                            const std::string& id,
                                            const std::string& organisation) {
@@ -331,7 +337,7 @@
     return is_own ? job : nullptr;
   }
 
-  // Any, before the first configuration has come.
+  // Before the first configuration, any service counts as configured.
   static bool HasService(const Ledger& ledger, const std::string& name) {
     const auto& configuration = ledger.configuration();
     return configuration.version == 0 ||
@@ -347,7 +353,7 @@
     }
     const scheduling::Job* job =
         FindOwnJob(ledger, request.id, admission.organisation);
-    Reply reply = Done(job == nullptr ? Outcome::kNoJob : Outcome::kOk);
+    Reply reply = MakeReply(job == nullptr ? Outcome::kNoJob : Outcome::kOk);
     if (job != nullptr) {
       reply.job_state = job->state;
     }
@@ -358,7 +364,7 @@
     scheduling::JobTaken taken;
     Outcome outcome = Outcome::kOk;
     bool is_known = false;
-    double promised = 0;
+    double promised_rate = 0;
     m_log->Read([&](const Ledger& ledger) {
       const Admission admission = Admit(ledger, request);
       outcome = admission.outcome;
@@ -374,12 +380,12 @@
       taken.job.service = admission.queue->service;
       taken.organisation = admission.organisation;
       const auto* spec = ledger.keys().Find(taken.organisation);
-      promised = spec == nullptr ? 0 : spec->weight;
+      promised_rate = spec == nullptr ? 0 : spec->weight;
     });
-    // A queue that is gone takes nothing, not even a job that it took before.
+    // A removed queue accepts nothing, not even the repeat of a known job.
     if (outcome == Outcome::kConflict ||
         (outcome == Outcome::kOk && is_known)) {
-      done(Done(outcome));
+      done(MakeReply(outcome));
       return;
     }
     if (outcome != Outcome::kOk) {
@@ -390,8 +396,8 @@
     taken.job.at = m_init.wall_now();
     taken.job.spec = std::move(request.spec);
     taken.is_excess =
-        promised > 0 &&
-        m_rates.IsExcess(taken.organisation, promised, m_init.timers->Now());
+        promised_rate > 0 && m_rates.IsExcess(taken.organisation, promised_rate,
+                                              m_init.timers->Now());
     ++m_counters.jobs;
     DecisionLog::Get().Write(
         DecisionLine("dispatch", "accept", LineClass::kRequest)
@@ -405,7 +411,7 @@
   }
 
   void Run(GetJob& request, const ReplyDone& done) {
-    // What is over stays as it is: no newer state is to be feared.
+    // The state of an ended job is final, so it needs no confirmed read.
     Reply known;
     m_log->Read(
         [&](const Ledger& ledger) { known = JobReply(ledger, request); });
@@ -435,14 +441,15 @@
       ReadConfirmed(
           [asked](const Ledger& ledger) {
             const Reply reply = JobReply(ledger, asked);
-            // Known by now, and not cancelled by this: as if asked again.
+            // The job is known by now, but was not cancelled by this request:
+            // the caller is told to retry.
             return reply.outcome == Outcome::kOk ? Unavailable() : reply;
           },
           done);
       return;
     }
     if (known.job_state >= scheduling::JobState::kSucceeded) {
-      done(Done(Outcome::kOk));
+      done(MakeReply(Outcome::kOk));
       return;
     }
     DecisionLog::Get().Write(
@@ -457,7 +464,7 @@
           const Admission admission = Admit(ledger, request);
           Reply reply = ReplyOf(admission.outcome);
           if (admission.outcome == Outcome::kNoAccess) {
-            TellNoAccess(ledger, *admission.queue, request.key);
+            LogNoAccess(ledger, *admission.queue, request.key);
           } else if (admission.outcome == Outcome::kOk) {
             reply.waiting = ledger.CountQueued(admission.queue->name);
           }
@@ -479,7 +486,7 @@
                                  ? "proposed"
                                  : "nothing-new"));
     if (request.configuration.version <= version) {
-      done(Done(Outcome::kOk));
+      done(MakeReply(Outcome::kOk));
       return;
     }
     Commit(scheduling::ConfigurationAdopted{std::move(request.configuration)},
@@ -489,17 +496,18 @@
   void Run(GetConfiguration&, const ReplyDone& done) {
     ReadConfirmed(
         [](const Ledger& ledger) {
-          Reply reply = Done(Outcome::kOk);
+          Reply reply = MakeReply(Outcome::kOk);
           reply.document = ledger.configuration().document;
           return reply.document.empty() ? Unavailable() : reply;
         },
         done);
   }
 
-  // Whether a worker says what is committed of it already, so that its leader
-  // need not hear of it: it looks at its workers itself. Only for some seconds,
-  // for it takes one that it can't reach for gone when it hears nothing else.
-  bool RepeatsItself(const AnnounceWorker& request) {
+  // Whether an announcement only repeats what is committed, so that the leader
+  // need not receive it, as it polls its workers itself. True for
+  // kLocalAnswerPeriod at a time only: the leader considers a worker gone that
+  // it can't reach and receives no announcement of.
+  bool IsKnownRepeat(const AnnounceWorker& request) {
     if (m_log == nullptr) {
       return false;
     }
@@ -510,102 +518,109 @@
                  (request.born == WallTime() || request.born == worker->born);
     });
     const SteadyTime now = m_init.timers->Now();
-    SteadyTime& passed_on = m_passed_on[request.info.id];
-    if (is_known && now - passed_on < kPassOn && !IsCutOff(now)) {
+    SteadyTime& last_referred = m_last_referred[request.info.id];
+    if (is_known && now - last_referred < kLocalAnswerPeriod &&
+        !IsCutOff(now)) {
       return true;
     }
-    passed_on = now;
-    ForgetPassedOn(now);
+    last_referred = now;
+    PruneReferrals(now);
     return false;
   }
 
-  // Keeps the newest word of each worker. The leader is told of it, and once
-  // more when the worker repeats it after the leader began.
-  void NoteHeard(const AnnounceWorker& word) {
-    HeardHere& heard = m_heard[word.info.id];
+  // Keeps the newest announcement of each worker, to be forwarded to the
+  // leader. An announcement received before the leader's current epoch is
+  // forwarded once more when the worker repeats it.
+  void RecordAnnouncement(const AnnounceWorker& announcement) {
+    ReceivedAnnouncement& received = m_announcements[announcement.info.id];
     const bool is_older =
-        word.born != heard.word.born
-            ? word.born < heard.word.born
-            : word.sequence != 0 && word.sequence < heard.word.sequence;
+        announcement.born != received.announcement.born
+            ? announcement.born < received.announcement.born
+            : announcement.sequence != 0 &&
+                  announcement.sequence < received.announcement.sequence;
     if (is_older) {
       return;
     }
-    const bool is_repeated = heard.is_told_since_epoch &&
-                             word.born == heard.word.born &&
-                             word.info == heard.word.info;
-    heard.told_in_epoch = is_repeated ? heard.told_in_epoch : 0;
-    heard.word = word;
-    heard.at = m_init.timers->Now();
-    ForgetHeard(heard.at);
+    const bool is_repeated = received.is_received_in_epoch &&
+                             announcement.born == received.announcement.born &&
+                             announcement.info == received.announcement.info;
+    received.forwarded_in_epoch = is_repeated ? received.forwarded_in_epoch : 0;
+    received.announcement = announcement;
+    received.at = m_init.timers->Now();
+    PruneAnnouncements(received.at);
   }
 
-  void ForgetHeard(SteadyTime now) {
-    if (now >= m_next_forget_heard) {
-      m_next_forget_heard = now + kPassOn;
-      std::erase_if(m_heard, [now](const auto& entry) {
-        return now - entry.second.at > kPassOn;
+  void PruneAnnouncements(SteadyTime now) {
+    if (now >= m_next_announcement_prune) {
+      m_next_announcement_prune = now + kLocalAnswerPeriod;
+      std::erase_if(m_announcements, [now](const auto& entry) {
+        return now - entry.second.at > kLocalAnswerPeriod;
       });
     }
   }
 
-  void TellLeader() {
+  void ForwardToLeader() {
     const SteadyTime now = m_init.timers->Now();
-    if (!m_init.ask_leader || now < m_next_tell || m_heard.empty()) {
+    if (!m_init.ask_leader || now < m_next_forward || m_announcements.empty()) {
       return;
     }
-    m_next_tell = now + kTellAgain;
-    TellHeardWorkers question;
-    for (const auto& [id, heard] : m_heard) {
-      const bool is_untold =
-          heard.told_in_epoch == 0 || heard.told_in_epoch != m_epoch;
-      if (is_untold && now - heard.at <= kHeardLasts &&
-          question.heard.size() < kMostTold) {
-        question.heard.push_back({heard.word});
+    m_next_forward = now + kForwardRetry;
+    ForwardAnnouncements request;
+    for (const auto& [id, received] : m_announcements) {
+      const bool must_forward = received.forwarded_in_epoch == 0 ||
+                                received.forwarded_in_epoch != m_epoch;
+      if (must_forward && now - received.at <= kForwardMaxAge &&
+          request.announcements.size() < kMaxForwarded) {
+        request.announcements.push_back({received.announcement});
       }
     }
-    auto told = std::make_shared<std::vector<HeardWorker>>(question.heard);
-    m_init.ask_leader(scheduling::Encode(Request(std::move(question))),
-                      now + kTellTime,
-                      [weak = weak_from_this(), post = m_init.post, told,
+    auto forwarded = std::make_shared<std::vector<ForwardedAnnouncement>>(
+        request.announcements);
+    m_init.ask_leader(scheduling::Encode(Request(std::move(request))),
+                      now + kForwardCallTimeout,
+                      [weak = weak_from_this(), post = m_init.post, forwarded,
                        now](std::optional<std::string> reply) {
-                        post([weak, told, now, reply = std::move(reply)] {
+                        post([weak, forwarded, now, reply = std::move(reply)] {
                           if (const auto self = weak.lock()) {
-                            self->OnTold(*told, now, reply);
+                            self->OnForwarded(*forwarded, now, reply);
                           }
                         });
                       });
   }
 
-  void OnTold(const std::vector<HeardWorker>& told,
-              SteadyTime told_at,
-              const std::optional<std::string>& text) {
-    m_next_tell = std::min(m_next_tell, told_at + kTellPeriod);
-    const std::optional<uint64_t> epoch = ReadEpoch(text);
+  void OnForwarded(const std::vector<ForwardedAnnouncement>& forwarded,
+                   SteadyTime forwarded_at,
+                   const std::optional<std::string>& text) {
+    m_next_forward = std::min(m_next_forward, forwarded_at + kForwardPeriod);
+    const std::optional<uint64_t> epoch = DecodeEpoch(text);
     if (!epoch) {
-      m_untold_since =
-          m_untold_since == SteadyTime() ? told_at : m_untold_since;
+      m_unanswered_since = m_unanswered_since == SteadyTime()
+                               ? forwarded_at
+                               : m_unanswered_since;
       return;
     }
-    m_untold_since = SteadyTime();
+    m_unanswered_since = SteadyTime();
     const SteadyTime now = m_init.timers->Now();
     if (*epoch != m_epoch) {
       m_epoch = *epoch;
       m_epoch_seen_at = now;
-      m_next_tell = now;
-    }
-    for (const HeardWorker& each : told) {
-      const auto heard = m_heard.find(each.word.info.id);
-      if (heard != m_heard.end() && heard->second.word == each.word) {
-        heard->second.told_in_epoch = m_epoch;
-        heard->second.is_told_since_epoch = heard->second.at >= m_epoch_seen_at;
+      m_next_forward = now;
+    }
+    for (const ForwardedAnnouncement& each : forwarded) {
+      const auto received = m_announcements.find(each.announcement.info.id);
+      if (received != m_announcements.end() &&
+          received->second.announcement == each.announcement) {
+        received->second.forwarded_in_epoch = m_epoch;
+        received->second.is_received_in_epoch =
+            received->second.at >= m_epoch_seen_at;
       }
     }
-    if (told.size() == kMostTold) {
-      m_next_tell = now;
+    if (forwarded.size() == kMaxForwarded) {
+      m_next_forward = now;
     }
   }
 
-  static std::optional<uint64_t> ReadEpoch(
+  static std::optional<uint64_t> DecodeEpoch(
       const std::optional<std::string>& text) {
     if (!text) {
       return std::nullopt;
@@ -613,9 +628,10 @@
     try {
       const auto reply = scheduling::Decode<Reply>(*text);
       if (reply.outcome != Outcome::kOk) {
-        return std::nullopt;  // It leads no more.
+        return std::nullopt;  // That host does not lead any more.
       }
-      return scheduling::Decode<HeardWorkersAnswer>(reply.document).epoch;
+      return scheduling::Decode<ForwardAnnouncementsReply>(reply.document)
+          .epoch;
     } catch (const scheduling::CodecError& error) {
       DecisionLog::Get().Write(
           DecisionLine("dispatch", "bad-reply").With("error", error.what()));
@@ -623,51 +639,52 @@
     }
   }
 
-  // What came here while another host led.
-  void TakeHeard() {
+  // Applies the announcements that came to this host while another host led.
+  void ApplyAnnouncements() {
     const SteadyTime now = m_init.timers->Now();
-    for (const auto& [id, heard] : m_heard) {
-      if (now - heard.at <= kHeardLasts) {
-        AnnounceWorker word = heard.word;
-        TakeHeard(word);
+    for (const auto& [id, received] : m_announcements) {
+      if (now - received.at <= kForwardMaxAge) {
+        AnnounceWorker announcement = received.announcement;
+        ApplyAnnouncement(announcement);
       }
     }
   }
 
-  // One that is not known tells the leader itself: what was heard of it may be
-  // the late word of a life that is over.
-  void TakeHeard(AnnounceWorker& word) {
+  // Ignores workers that are not known: the announcement may be a late one of
+  // an incarnation that has ended. A new worker announces itself to the leader.
+  void ApplyAnnouncement(AnnounceWorker& announcement) {
     bool is_known = false;
     m_log->Read([&](const Ledger& ledger) {
-      is_known = ledger.FindWorker(word.info.id) != nullptr;
+      is_known = ledger.FindWorker(announcement.info.id) != nullptr;
     });
     if (is_known) {
-      Run(word, [](const Reply&) {});
+      Run(announcement, [](const Reply&) {});
     }
   }
 
-  void Run(TellHeardWorkers& request, const ReplyDone& done) {
-    for (HeardWorker& each : request.heard) {
-      TakeHeard(each.word);
+  void Run(ForwardAnnouncements& request, const ReplyDone& done) {
+    for (ForwardedAnnouncement& each : request.announcements) {
+      ApplyAnnouncement(each.announcement);
     }
-    Reply reply = Done(Outcome::kOk);
-    reply.document =
-        scheduling::Encode(HeardWorkersAnswer{m_leadership->heard_epoch()});
+    Reply reply = MakeReply(Outcome::kOk);
+    reply.document = scheduling::Encode(
+        ForwardAnnouncementsReply{m_leadership->heard_epoch()});
     done(reply);
   }
 
-  // Whether no leader has been told for long of what is heard here. Workers
-  // then go to other hosts: a leader starts nothing on one that it does not
-  // hear of.
+  // Whether no leader has answered this host's forwarding requests for
+  // kCutOffTimeout. Workers must then announce themselves to other hosts: a
+  // leader starts nothing on a worker whose announcements don't reach it.
   bool IsCutOff(SteadyTime now) const {
-    return m_untold_since != SteadyTime() && now - m_untold_since >= kCutOff;
+    return m_unanswered_since != SteadyTime() &&
+           now - m_unanswered_since >= kCutOffTimeout;
   }
 
-  void ForgetPassedOn(SteadyTime now) {
-    if (now >= m_next_forget) {
-      m_next_forget = now + kPassOn;
-      std::erase_if(m_passed_on, [now](const auto& entry) {
-        return now - entry.second > 2 * kPassOn;
+  void PruneReferrals(SteadyTime now) {
+    if (now >= m_next_referral_prune) {
+      m_next_referral_prune = now + kLocalAnswerPeriod;
+      std::erase_if(m_last_referred, [now](const auto& entry) {
+        return now - entry.second > 2 * kLocalAnswerPeriod;
       });
     }
   }
@@ -675,28 +692,29 @@
   void Run(AnnounceWorker& request, const ReplyDone& done) {
     scheduling::WorkerInfo& info = request.info;
     bool is_known = false;
-    bool is_named = true;
+    bool is_service_known = true;
     bool is_outdated = false;
     m_log->Read([&](const Ledger& ledger) {
       const scheduling::Worker* worker = ledger.FindWorker(info.id);
       is_outdated =
           ledger.IsOutdated(info.id, request.born, request.sequence) ||
           ledger.IsGone(info.id, request.born);
-      is_named = worker != nullptr || HasService(ledger, info.service);
+      is_service_known = worker != nullptr || HasService(ledger, info.service);
       const bool is_same_life =
           worker != nullptr &&
           (request.born == WallTime() || request.born == worker->born);
-      // A life that drains never comes back from it: an older word was late.
+      // Draining is final for an incarnation: an announcement that denies it
+      // is an older one that came late.
       info.is_draining =
           info.is_draining || (is_same_life && worker->info.is_draining);
       is_known = is_same_life && worker->info == info;
     });
-    if (!is_named) {
+    if (!is_service_known) {
       DecisionLog::Get().Write(DecisionLine("dispatch", "worker-refused")
                                    .With("worker", info.id)
                                    .With("service", info.service)
                                    .With("why", "no such service"));
-      done(Done(Outcome::kNotFound));
+      done(MakeReply(Outcome::kNotFound));
       return;
     }
     if (!is_outdated) {
@@ -707,7 +725,7 @@
       m_leadership->Heard(info.id, word);
     }
     if (is_known || is_outdated) {
-      done(Done(Outcome::kOk));
+      done(MakeReply(Outcome::kOk));
       return;
     }
     DecisionLog::Get().Write(
@@ -736,8 +754,9 @@
         is_committed);
   }
 
-  // It names no life: where there was an earlier one under the id, the word may
-  // be that one's, come late. A life that means it has drained before.
+  // The notice doesn't say which incarnation sent it. With an earlier
+  // incarnation of the id it may be that one's, come late. It is accepted if
+  // the current incarnation is draining, as a worker drains before it leaves.
   void Run(WorkerLeaves& request, const ReplyDone& done) {
     scheduling::WorkerLeft ended{request.id};
     bool may_be_late = false;
@@ -752,10 +771,10 @@
         DecisionLine("dispatch",
                      may_be_late ? "worker-leaves-ignored" : "worker-gone")
             .With("worker", request.id)
-            .With("why", may_be_late ? "an earlier life may have said so"
-                                     : "it said so"));
+            .With("why", may_be_late ? "an earlier incarnation may have sent it"
+                                     : "the worker announced it"));
     if (may_be_late) {
-      done(Done(Outcome::kOk));
+      done(MakeReply(Outcome::kOk));
       return;
     }
     Commit(std::move(ended), done);
@@ -767,7 +786,7 @@
       is_known = ledger.waves().contains(request.wave);
     });
     if (is_known) {
-      done(Done(Outcome::kOk));
+      done(MakeReply(Outcome::kOk));
       return;
     }
     DecisionLog::Get().Write(
@@ -787,9 +806,9 @@
         [request](const Ledger& ledger) {
           const auto wave = ledger.waves().find(request.wave);
           if (wave == ledger.waves().end()) {
-            return Done(Outcome::kNotFound);
+            return MakeReply(Outcome::kNotFound);
           }
-          Reply reply = Done(Outcome::kOk);
+          Reply reply = MakeReply(Outcome::kOk);
           reply.is_wave_done = wave->second.is_done();
           return reply;
         },
@@ -808,12 +827,13 @@
     return bounds;
   }
 
-  /// A worker's newest word that came to this host.
-  struct HeardHere {
-    AnnounceWorker word;
+  /// The newest announcement of a worker that came to this host.
+  struct ReceivedAnnouncement {
+    AnnounceWorker announcement;
     SteadyTime at{};
-    uint64_t told_in_epoch = 0;        ///< 0: not told.
-    bool is_told_since_epoch = false;  ///< It came after that had begun.
+    uint64_t forwarded_in_epoch = 0;  ///< 0: not forwarded.
+    /// It came after this host had learned of that epoch.
+    bool is_received_in_epoch = false;
   };
 
   const DispatcherInit m_init;
@@ -822,25 +842,28 @@
   TimerHandle m_tick;
   TimerHandle m_flush;
 
-  // On the one thread only.
+  // Used on the dispatch thread only.
   std::shared_ptr<Leadership> m_leadership;
   std::vector<std::function<void(bool)>> m_to_confirm;
   bool m_is_confirming = false;
   SteadyTime m_next_confirm{};
-  /// When a worker was last sent to the leader with what it says; by worker.
-  std::unordered_map<std::string, SteadyTime> m_passed_on;
-  SteadyTime m_next_forget{};
-  std::unordered_map<std::string, HeardHere> m_heard;  // By worker.
-  uint64_t m_epoch = 0;  // Of the leader; 0: it has not told yet.
+  /// When a worker's announcement was last referred to the leader; by worker.
+  std::unordered_map<std::string, SteadyTime> m_last_referred;
+  SteadyTime m_next_referral_prune{};
+  std::unordered_map<std::string, ReceivedAnnouncement>
+      m_announcements;   // By worker.
+  uint64_t m_epoch = 0;  // The leader's; 0 until it has answered.
   SteadyTime m_epoch_seen_at{};
-  SteadyTime m_next_forget_heard{};
-  SteadyTime m_next_tell{};
-  SteadyTime m_untold_since{};  // The first telling that no leader answered.
+  SteadyTime m_next_announcement_prune{};
+  SteadyTime m_next_forward{};
+  // When the first of the forwarding requests without an answer was sent; zero
+  // after an answer.
+  SteadyTime m_unanswered_since{};
   DispatchCounters m_counters;
   scheduling::JobRates m_rates;  // Since this host began to lead.
 
   std::atomic<bool> m_is_leading{false};
-  mutable std::mutex m_counters_mutex;  // Guards what is published.
+  mutable std::mutex m_counters_mutex;  // Guards the two published copies.
   DispatchCounters m_published;
   DispatchSight m_published_sight;
 };
