--- a/packages/dispatch/src/admission_limit.cc
+++ b/packages/dispatch/src/admission_limit.cc
@@ -6,15 +6,17 @@
 
 namespace {
 
-// A leader that keeps up answers after a commit, some tens of milliseconds.
-constexpr Millis kSoon{170};
-// Half of the time after which an answer is not waited for.
-constexpr Millis kLate{300};
-// Answers to what was sent before a change say nothing of it.
-constexpr Millis kChangePause{100};
-constexpr double kAfterLate = 0.7;
-constexpr double kLeast = 1;
-constexpr double kMost = 64;
+// Answers up to this time raise the limit. A leader that keeps up answers after
+// a commit, within some tens of milliseconds.
+constexpr Millis kFastAnswer{170};
+// Later answers lower the limit; half of the request timeout.
+constexpr Millis kLateAnswer{300};
+// The limit is lowered at most once in this time, as answers to requests sent
+// before a change don't show its effect.
+constexpr Millis kLowerInterval{100};
+constexpr double kLateFactor = 0.7;  // Factor for a late answer.
+constexpr double kMinLimit = 1;
+constexpr double kMaxLimit = 64;
 
 }  // namespace
 
@@ -22,29 +24,30 @@
   const bool was_used = 2 * m_under_way >= limit();
   --m_under_way;
   if (outcome == AskedOutcome::kNotSent) {
-    return;  // Tells nothing of a leader's load.
+    return;  // Says nothing about the leader's load.
   }
-  if (outcome == AskedOutcome::kNotAnswered && took > kLate) {
-    // The leader is lost, or busy with requests that were given up: more of
-    // them would hold it up for longer.
-    Lower(kLeast, now);
-  } else if (outcome == AskedOutcome::kAnswered && took > kLate) {
-    Lower(m_limit * kAfterLate, now);
-  } else if (outcome == AskedOutcome::kAnswered && took <= kSoon && was_used) {
-    // One more an answer up to a half of what it was before, from there on one
-    // more for each round of answers.
-    m_limit += m_limit < m_quick_until ? 1 : 1 / m_limit;
-    m_limit = std::min(m_limit, kMost);
+  if (outcome == AskedOutcome::kNotAnswered && took > kLateAnswer) {
+    // The leader is gone, or busy with requests that have timed out; more
+    // requests would delay it further.
+    Lower(kMinLimit, now);
+  } else if (outcome == AskedOutcome::kAnswered && took > kLateAnswer) {
+    Lower(m_limit * kLateFactor, now);
+  } else if (outcome == AskedOutcome::kAnswered && took <= kFastAnswer &&
+             was_used) {
+    // Rises by one per answer up to half of the limit that was last lowered,
+    // then by one per round of answers.
+    m_limit += m_limit < m_slow_start_end ? 1 : 1 / m_limit;
+    m_limit = std::min(m_limit, kMaxLimit);
   }
 }
 
 void AdmissionLimit::Lower(double limit, SteadyTime now) {
-  if (now - m_lowered_at < kChangePause) {
+  if (now - m_lowered_at < kLowerInterval) {
     return;
   }
   m_lowered_at = now;
-  m_quick_until = m_limit > kLeast ? m_limit / 2 : m_quick_until;
-  m_limit = std::max(limit, kLeast);
+  m_slow_start_end = m_limit > kMinLimit ? m_limit / 2 : m_slow_start_end;
+  m_limit = std::max(limit, kMinLimit);
 }
 
 }  // namespace laurelhall::dispatch
--- a/packages/dispatch/src/admission_limit_p.h
+++ b/packages/dispatch/src/admission_limit_p.h
@@ -6,31 +6,31 @@
 
 namespace laurelhall::dispatch {
 
-/// What became of a request that was taken in.
+/// The result of an admitted request.
 enum class AskedOutcome {
   kAnswered,
-  kNotAnswered,  ///< It was sent, and given up.
-  kNotSent,      ///< No leader is known.
+  kNotAnswered,  ///< It was sent and timed out.
+  kNotSent,      ///< No leader was known.
   kCount,
 };
 
-/// How many requests of one kind an entry host has under way at the leader: one
-/// more while answers come soon, fewer once they come late. What is beyond the
-/// limit is refused at once, so that the leader's time goes to what it can
-/// still answer in time.
+/// An adaptive limit on the requests of one kind that an entry host has in
+/// flight to the leader. It rises while answers are fast and falls when they
+/// are late. Requests beyond the limit are refused at once, so that the leader
+/// spends its time on requests that it can still answer in time.
 ///
 /// @remarks Reads no clock. Not thread-safe.
 class AdmissionLimit {
  public:
   bool MayEnter() const { return m_under_way < limit(); }
 
-  /// A request goes to the leader; also beyond the limit, for one that was
-  /// taken in and is tried again.
+  /// Counts a request that is sent to the leader. The limit may be exceeded by
+  /// a retry of a request that was admitted.
   void Enter() { ++m_under_way; }
 
-  /// A request that went to the leader is over.
+  /// Ends a request that was counted and adapts the limit to its result.
   ///
-  /// @param took Until its answer, or until it was given up.
+  /// @param took The time until its answer, or until it timed out.
   /// @pre Enter() was called for it.
   void Leave(Millis took, AskedOutcome outcome, SteadyTime now);
 
@@ -40,12 +40,12 @@
  private:
   void Lower(double limit, SteadyTime now);
 
-  /// Of a host that has heard nothing yet.
-  static constexpr double kFirst = 8;
+  /// The limit before the first answer.
+  static constexpr double kInitialLimit = 8;
 
-  double m_limit = kFirst;
+  double m_limit = kInitialLimit;
   size_t m_under_way = 0;
-  double m_quick_until = 0;
+  double m_slow_start_end = 0;  ///< Below this limit it rises by one an answer.
   SteadyTime m_lowered_at{};
 };
 
--- a/packages/dispatch/src/leadership_p.h
+++ b/packages/dispatch/src/leadership_p.h
@@ -187,21 +187,21 @@
   uint32_t may_miss = 0;
 };
 
-/// A host on its way through maintenance, as this leader sees it.
-struct HostTrack {
+/// The progress of a host's maintenance, as this leader knows it.
+struct HostMaintenance {
   uint64_t wave = 0;
   SteadyTime chosen_at{};
   bool is_act_under_way = false;
   SteadyTime next_try{};
-  WorkerLife life_before;   ///< That the maintenance ends.
-  SteadyTime acted_at{};    ///< When its act went out; zero: not by us.
-  SteadyTime down_since{};  ///< Zero: not ordered yet.
-  /// Its tasks wait for others that find no place; zero: they do not.
-  SteadyTime stuck_since{};
+  WorkerLife life_before;   ///< The incarnation that the maintenance ends.
+  SteadyTime acted_at{};    ///< When this leader sent the order, or zero.
+  SteadyTime down_since{};  ///< Zero until the order was carried out.
+  /// Since when its tasks wait for others that find no place, or zero.
+  SteadyTime blocked_since{};
 };
 
-/// A host that a wave leaves to its service for a while.
-struct SparedHost {
+/// A host whose maintenance is deferred, so that its service may use it.
+struct DeferredHost {
   std::string host;
   SteadyTime until{};
 };
@@ -213,22 +213,22 @@
   scheduling::LossTime when;
 };
 
-/// A host as this leader believes it to be.
+/// The state of a host, as far as this leader knows.
 struct HostState {
   std::string pool;
   bool is_up = false;
   double cores = 0;
-  SteadyTime since{};  ///< In its pool.
+  SteadyTime since{};  ///< When it joined its pool; zero if long ago.
 };
 
-/// A host on its way to another pool.
-struct MoveTrack {
+/// The progress of a host's move to another pool.
+struct HostMove {
   std::string to;
   SteadyTime chosen_at{};
   SteadyTime next_try{};
-  SteadyTime ordered_at{};  ///< Zero: being emptied.
+  SteadyTime ordered_at{};  ///< When it was moved; zero while it is drained.
   bool is_act_under_way = false;
-  SteadyTime acted_at{};  ///< When its act went out; zero: not yet.
+  SteadyTime acted_at{};  ///< When the order was sent; zero: not yet.
   WorkerLife life_before;
 };
 
@@ -543,72 +543,74 @@
 
   // waves.cc: maintenance.
   void StepWaves(const Ledger& ledger, Records& records);
-  size_t TakeOver(const scheduling::WaveState& wave);
+  size_t AdoptOrderedHosts(const scheduling::WaveState& wave);
   static bool IsDueForMaintenance(const Ledger& ledger,
                                   const std::string& host);
   size_t HostsAtOnce(const scheduling::WaveState& wave) const;
   void ChooseHosts(const Ledger& ledger, const scheduling::WaveState& wave);
-  size_t CountDown(const scheduling::WaveState& wave,
-                   const std::string& besides) const;
-  /// What is on a host that is to be maintained.
-  struct HostUse {
+  size_t CountHostsDown(const scheduling::WaveState& wave,
+                        const std::string& besides) const;
+  /// What runs on a host that is chosen for maintenance.
+  struct HostWorkload {
     bool is_empty = true;
     bool has_persistent = false;
-    bool is_stuck = false;  ///< Its tasks wait for others that find no place.
+    /// Its tasks may not leave before tasks of their step that have no place.
+    bool is_leave_blocked = false;
   };
-  HostUse EmptyHost(const Ledger& ledger, const std::string& host);
-  void StepHost(const Ledger& ledger,
-                const scheduling::WaveState& wave,
-                const std::string& host,
-                HostTrack& track,
-                Records& records);
+  HostWorkload DrainHost(const Ledger& ledger, const std::string& host);
+  void AdvanceHost(const Ledger& ledger,
+                   const scheduling::WaveState& wave,
+                   const std::string& host,
+                   HostMaintenance& track,
+                   Records& records);
   void Maintain(uint64_t wave, const std::string& host);
   void OnMaintained(uint64_t wave,
                     const std::string& host,
                     HostActOutcome outcome);
-  static bool WaitsForUnplaced(const Ledger& ledger,
-                               const scheduling::TaskId& task);
-  bool IsSpared(const std::string& host) const;
-  bool Spare(const std::string& host, const scheduling::Worker& worker);
+  static bool WaitsForUnplacedTasks(const Ledger& ledger,
+                                    const scheduling::TaskId& task);
+  bool IsMaintenanceDeferred(const std::string& host) const;
+  bool DeferMaintenance(const std::string& host,
+                        const scheduling::Worker& worker);
 
-  /// An act on a host, which goes out only while this host is sure to lead.
+  /// Makes an action on a host, sent only while this host surely leads.
   HostAct MakeHostAct(const std::string& host);
 
   // moves.cc: hosts between pools.
   void StepMoves(const Ledger& ledger);
-  void FollowHosts(const Ledger& ledger);
-  void FollowHostOf(const scheduling::Worker& worker);
+  void UpdateInventory(const Ledger& ledger);
+  void UpdateHostOf(const scheduling::Worker& worker);
   bool IsMoveOver(const Ledger& ledger,
                   const std::string& host,
-                  const MoveTrack& track);
+                  const HostMove& track);
   void ListHosts(const std::string& page);
   void OnListed(const HostPage& page);
   void ChooseMoves(const Ledger& ledger);
-  static std::map<std::string, uint32_t> HostsForPersistent(
+  static std::map<std::string, uint32_t> MinHostsForPersistentTasks(
       const Ledger& ledger);
-  double HoldNeed(double cores);
+  double RecordPeakNeed(double cores);
   bool Serves(const scheduling::Worker& worker) const;
-  Millis IdleFor(const std::string& host, double busy_cores);
-  Millis EmptiesIn(const Ledger& ledger,
-                   const scheduling::Worker& worker) const;
+  Millis UpdateIdleTime(const std::string& host, double busy_cores);
+  Millis EstimateDrainTime(const Ledger& ledger,
+                           const scheduling::Worker& worker) const;
   void ReportPool(const scheduling::PoolNeed& pool,
                   const std::vector<scheduling::PoolHost>& hosts) const;
-  /// Cores that a service needs: for short work that is here or keeps coming,
-  /// for what is foreseen, and for its persistent tasks.
+  /// Cores that a service needs for present and arriving short work (`now`),
+  /// for the work that is expected (`soon`), and for its persistent tasks.
   struct ServiceNeed {
     double now = 0;
     double soon = 0;
     double persistent = 0;
   };
   std::map<std::string, ServiceNeed> NeededCores(const Ledger& ledger) const;
-  scheduling::PoolWeights WeighPools(
+  scheduling::PoolWeights MakePoolWeights(
       const std::vector<scheduling::PoolNeed>& pools);
-  size_t MostMoves(const Ledger& ledger) const;
-  void StepMove(const Ledger& ledger,
-                const std::string& host,
-                MoveTrack& track);
+  size_t MaxNewMoves(const Ledger& ledger) const;
+  void AdvanceMove(const Ledger& ledger,
+                   const std::string& host,
+                   HostMove& track);
   void OnMoved(const std::string& host, HostActOutcome outcome);
-  bool IsSpare(const Ledger& ledger, const std::string& pool) const;
+  bool IsSparePool(const Ledger& ledger, const std::string& pool) const;
 
   const scheduling::Worker* WorkerOn(const Ledger& ledger,
                                      const std::string& host) const;
@@ -633,23 +635,24 @@
   /// Of ids whose link was dropped: the number of their last life.
   std::unordered_map<std::string, uint64_t> m_last_lives;
   std::optional<uint64_t> m_followed_workers;  // The ledger's version of them.
-  std::optional<uint64_t> m_followed_hosts;    // As of m_inventory.
+  // The version of the ledger's workers that m_inventory includes.
+  std::optional<uint64_t> m_inventory_version;
   std::unordered_map<RunKey, RunTrack, RunKeyHash> m_runs;
   std::deque<LostLife> m_lost_lives;                      // Oldest first.
   std::unordered_map<std::string, SteadyTime> m_seen_at;  // By open job.
   std::map<std::string, SteadyTime> m_over_at;            // By ended job.
-  std::map<std::string, HostTrack> m_hosts;               // Under maintenance.
-  std::map<std::string, SparedHost> m_spared;             // By service.
-  std::map<std::string, MoveTrack> m_moves;               // By host.
+  std::map<std::string, HostMaintenance> m_hosts;         // Under maintenance.
+  std::map<std::string, DeferredHost> m_deferred_hosts;   // By service.
+  std::map<std::string, HostMove> m_moves;                // By host.
   std::map<std::string, HostState> m_inventory;           // By host.
   std::set<std::pair<std::string, std::string>> m_refused_moves;
   scheduling::DemandMeter m_demand;
-  /// Falling peaks of what all services need, oldest first.
-  std::deque<std::pair<SteadyTime, double>> m_peaks;
+  /// Falling peaks of the cores that all services need, oldest first.
+  std::deque<std::pair<SteadyTime, double>> m_peak_needs;
   std::map<std::string, SteadyTime>
       m_idle_since;  // By host without short work.
-  SteadyTime m_next_learn{};
-  SteadyTime m_next_choice{};
+  SteadyTime m_next_demand_update{};
+  SteadyTime m_next_move_choice{};
   SteadyTime m_next_report{};
   SteadyTime m_next_list{};
   bool m_is_listing = false;
--- a/packages/dispatch/src/moves.cc
+++ b/packages/dispatch/src/moves.cc
@@ -15,56 +15,63 @@
 
 namespace {
 
-constexpr Millis kChoicePeriod{150};
-// One stretch of the meter.
-constexpr Millis kLearnPeriod{250};
-// What a task that has outrun its estimate is taken to need still.
-constexpr Millis kLeastLeft{150};
+constexpr Millis kMoveChoicePeriod{150};
+// Interval at which the demand meter is updated.
+constexpr Millis kDemandPeriod{250};
+// Remaining run time assumed for a task that has exceeded its estimate.
+constexpr Millis kMinTimeLeft{150};
 constexpr Millis kReportPeriod{1'000};
-// Within a rush, arrivals pause for a second or two.
-constexpr Millis kHoldNeed{4'000};
-// One is maintained and one has failed.
-constexpr uint32_t kHostsAway = 2;
-// Hosts that are off announce nothing: their list is read again now and then.
+// How long a peak of the total need is remembered; longer than the pauses of
+// arrivals within a burst, which last a second or two.
+constexpr Millis kPeakNeedPeriod{4'000};
+// Hosts that may be away at a time: one in maintenance and one that has failed.
+constexpr uint32_t kMaxHostsAway = 2;
+// Hosts that are off send no announcements, so the list of hosts is read again
+// at this interval.
 constexpr Millis kListPeriod{10'000};
 constexpr Millis kListRetry{1'000};
-constexpr Millis kActRetry{200};
-// Starts that were under way when a host was chosen are committed by then.
-constexpr Millis kSettles{80};
-// Short work that has not ended by then keeps its host where it is.
-constexpr Millis kLongestEmptying{2'500};
-// A worker that was silent for so long does not count for its pool, so that its
-// place is taken before its lease is over: a look and its retry.
-constexpr Millis kNotServing{3'000};
-// A host that was moved and did not announce itself for so long is lost.
-constexpr Millis kLostOnTheWay{6'000};
-// How far ahead a host that is chosen now will serve: its emptying, its move
-// and its first look.
-constexpr Millis kSoonest{1'600};
-constexpr Millis kLatest{2'600};
-// Waiting work is to be under way within this share of the time that its job
-// has left, for the work itself takes the rest; what is too late anyway when
-// there is room.
-constexpr double kShareOfTimeLeft = 0.5;
-constexpr Millis kClearSoonest{400};
-// Cores kept for each core of work. Arrivals within a rush vary, and a host
-// that stands idle elsewhere costs the same; what is here is known but for its
-// run times, so that a service whose rush is over lets its hosts go about a
-// second sooner. Together worth 0.02 of what callers pay for on days of rushes.
+constexpr Millis kMoveRetry{200};
+// Starts that were in flight when a host was chosen are committed after this.
+constexpr Millis kMoveSettleTime{80};
+// A move is given up if the host's short tasks have not ended after this.
+constexpr Millis kMaxMoveDrainTime{2'500};
+// A worker that was silent for this long, a poll and its retry, does not count
+// for its pool, so that it is replaced before its lease runs out.
+constexpr Millis kServingTimeout{3'000};
+// A host that has not announced itself this long after its move is lost.
+constexpr Millis kMoveTimeout{6'000};
+// A host that is chosen now serves its new pool after a time between these two:
+// it is drained, moved and polled for the first time.
+constexpr Millis kMinMoveTime{1'600};
+constexpr Millis kMaxMoveTime{2'600};
+// Waiting work should start within this share of the time that its job has
+// left; the work itself takes the rest.
+constexpr double kQueueTimeShare = 0.5;
+// The shortest time within which waiting work is planned to start.
+constexpr Millis kMinQueueTime{400};
+// Cores kept per core of work, for work that keeps arriving and for work that
+// is already present. Arrivals within a burst vary, and a host that is idle in
+// another pool costs the same. Of present work only the run times are unknown;
+// the smaller factor lets a service release its hosts about 1 s sooner after a
+// burst. The two factors together gain 0.02 of what callers pay for on days
+// with bursts.
 constexpr double kHeadroomArriving = 1.8;
-constexpr double kHeadroomHere = 1.2;
-constexpr Millis kClearHopeless{6'000};
-// A chosen host takes no work until it serves elsewhere, so only as many are
-// chosen as acts can soon go out for: those under way and as many again that
-// are ready when these are done. Without the bound 40 % of 350 hosts stood idle
-// in rushes, for 3 s with a leader in time and 14 s with one that was behind.
-// Hosts whose last work has to end are not bounded: with a tenth of all hosts
-// at most callers were served worse in each of three plays, by 0.01 to 0.10.
-constexpr size_t kActsAhead = 2;
+constexpr double kHeadroomPresent = 1.2;
+// Time within which waiting work is planned to start if it is too late anyway.
+constexpr Millis kOverdueQueueTime{6'000};
+// A chosen host takes no work until it serves its new pool. So only as many
+// hosts are chosen as actions can soon be sent for: those in flight, and as
+// many again that are ready when these are done. Without the bound 40 % of 350
+// hosts were idle in bursts, for 3 s with a leader that kept up and for 14 s
+// with one that lagged. Hosts that still run tasks are not bounded: a limit of
+// a tenth of all hosts served callers worse in each of three runs, by 0.01 to
+// 0.10.
+constexpr size_t kActionsAhead = 2;
 
 }  // namespace
 
-bool Leadership::IsSpare(const Ledger& ledger, const std::string& pool) const {
+bool Leadership::IsSparePool(const Ledger& ledger,
+                             const std::string& pool) const {
   for (const auto& service : ledger.configuration().services) {
     if (service.name == pool) {
       return service.is_spare;
@@ -75,17 +82,17 @@
 
 void Leadership::StepMoves(const Ledger& ledger) {
   const SteadyTime now = Now();
-  if (now >= m_next_learn) {
-    m_next_learn = now + kLearnPeriod;
+  if (now >= m_next_demand_update) {
+    m_next_demand_update = now + kDemandPeriod;
     m_demand.Learn(now);
   }
   if (!m_is_listing && now >= m_next_list) {
     m_is_listing = true;
     ListHosts("");
   }
-  FollowHosts(ledger);
+  UpdateInventory(ledger);
   for (auto& [host, track] : m_moves) {
-    StepMove(ledger, host, track);
+    AdvanceMove(ledger, host, track);
   }
   std::vector<std::string> ended;
   for (const auto& [host, track] : m_moves) {
@@ -95,30 +102,31 @@
   }
   for (const std::string& host : ended) {
     m_moves.erase(host);
-    // What its worker says counts again.
+    // From now on, what the workers announce decides the host's state again.
     for (const std::string& life : ledger.WorkersOn(host)) {
-      FollowHostOf(*ledger.FindWorker(life));
+      UpdateHostOf(*ledger.FindWorker(life));
     }
   }
-  if (now >= m_next_choice && !m_inventory.empty()) {
-    m_next_choice = now + kChoicePeriod;
+  if (now >= m_next_move_choice && !m_inventory.empty()) {
+    m_next_move_choice = now + kMoveChoicePeriod;
     ChooseMoves(ledger);
   }
 }
 
 bool Leadership::IsMoveOver(const Ledger& ledger,
                             const std::string& host,
-                            const MoveTrack& track) {
+                            const HostMove& track) {
   if (track.ordered_at == SteadyTime()) {
     return !track.is_act_under_way &&
-           Now() - track.chosen_at > kLongestEmptying;
+           Now() - track.chosen_at > kMaxMoveDrainTime;
   }
   const Worker* worker = WorkerOn(ledger, host);
   const bool is_back = worker != nullptr && !track.life_before.IsSame(*worker);
-  // Its last life must be known to be over, or it seems still to be there.
+  // The end of its last incarnation must be committed, or the host would seem
+  // to be in its old pool still.
   const bool is_parked =
-      worker == nullptr && IsSpare(ledger, m_inventory[host].pool);
-  return is_back || is_parked || Now() - track.ordered_at > kLostOnTheWay;
+      worker == nullptr && IsSparePool(ledger, m_inventory[host].pool);
+  return is_back || is_parked || Now() - track.ordered_at > kMoveTimeout;
 }
 
 void Leadership::ListHosts(const std::string& page) {
@@ -135,7 +143,7 @@
     const bool is_new = !m_inventory.contains(info.host);
     HostState& state = m_inventory[info.host];
     if (m_moves.contains(info.host)) {
-      continue;  // What this leader ordered is newer.
+      continue;  // What this leader ordered is newer than the list.
     }
     if (is_new || state.pool != info.pool) {
       state.since = is_new ? SteadyTime() : now;
@@ -148,33 +156,35 @@
     ListHosts(page.next);
     return;
   }
-  m_followed_hosts.reset();
+  m_inventory_version.reset();
   m_is_listing = false;
   m_next_list = now + (page.is_ok ? kListPeriod : kListRetry);
 }
 
-// What workers say of their hosts is newer than any list.
-void Leadership::FollowHosts(const Ledger& ledger) {
-  if (m_followed_hosts == ledger.workers_version()) {
+// Updates hosts from the announcements of their workers, which are newer than
+// any list of hosts.
+void Leadership::UpdateInventory(const Ledger& ledger) {
+  if (m_inventory_version == ledger.workers_version()) {
     return;
   }
-  const auto before = std::exchange(m_followed_hosts, ledger.workers_version());
+  const auto before =
+      std::exchange(m_inventory_version, ledger.workers_version());
   const bool is_told =
       before && ledger.VisitChangedWorkers(*before, [&](const std::string& id) {
         const Worker* worker = ledger.FindWorker(id);
         if (worker != nullptr) {
-          FollowHostOf(*worker);
+          UpdateHostOf(*worker);
         }
       });
   if (is_told) {
     return;
   }
   for (const auto& [id, worker] : ledger.workers()) {
-    FollowHostOf(worker);
+    UpdateHostOf(worker);
   }
 }
 
-void Leadership::FollowHostOf(const Worker& worker) {
+void Leadership::UpdateHostOf(const Worker& worker) {
   if (worker.info.host.empty()) {
     return;
   }
@@ -184,9 +194,9 @@
   }
   HostState& state = m_inventory[worker.info.host];
   if (state.pool != worker.info.service) {
-    // One that is seen for the first time may long have been there: it may
-    // move at once, or a new leader would serve a rush by what is idle only
-    // after the least stay.
+    // A host that is seen for the first time may have been in its pool for long
+    // and may move at once. Otherwise a new leader could use idle hosts for a
+    // burst only after the minimum stay.
     state.since = state.pool.empty() ? SteadyTime() : Now();
     state.pool = worker.info.service;
   }
@@ -208,9 +218,9 @@
         ledger, job, seen == m_seen_at.end() ? now : seen->second, now);
     const Millis within =
         waiting.is_hopeless
-            ? kClearHopeless
-            : std::max(kClearSoonest, std::chrono::duration_cast<Millis>(
-                                          waiting.left * kShareOfTimeLeft));
+            ? kOverdueQueueTime
+            : std::max(kMinQueueTime, std::chrono::duration_cast<Millis>(
+                                          waiting.left * kQueueTimeShare));
     needs[ledger.ServiceOf(job)].now +=
         waiting.core_millis / static_cast<double>(within.count());
   }
@@ -222,23 +232,24 @@
     need.now += static_cast<double>(worker.used.millicores) / 1000 - persistent;
   }
   const bool has_headroom = m_init.mechanisms.Has(Mechanism::kHeadroom);
-  const double here = has_headroom ? kHeadroomHere : 1;
+  const double here = has_headroom ? kHeadroomPresent : 1;
   const double arriving = has_headroom ? kHeadroomArriving : 1;
   for (const auto& service : ledger.configuration().services) {
-    // Work that is here and work that keeps coming: the greater of the two,
-    // as what is here was counted when it came.
+    // The greater of present and arriving work, as present work was counted as
+    // arriving before.
     ServiceNeed& need = needs[service.name];
     need.now =
         std::max(need.now * here, m_demand.Rate(service.name, now) * arriving);
-    // When a host that is chosen now could serve.
+    // The need at the time at which a host that is chosen now can serve.
     need.soon =
-        arriving * std::max(m_demand.Expected(service.name, now, kSoonest),
-                            m_demand.Expected(service.name, now, kLatest));
+        arriving * std::max(m_demand.Expected(service.name, now, kMinMoveTime),
+                            m_demand.Expected(service.name, now, kMaxMoveTime));
   }
   return needs;
 }
 
-Millis Leadership::EmptiesIn(const Ledger& ledger, const Worker& worker) const {
+Millis Leadership::EstimateDrainTime(const Ledger& ledger,
+                                     const Worker& worker) const {
   Millis longest{0};
   for (const TaskId& id : worker.active) {
     const Job& job = *ledger.FindJob(id.job);
@@ -250,14 +261,14 @@
         gone = std::chrono::floor<Millis>(Now() - track->second.begun_at);
       }
     }
-    longest = std::max(longest, std::max(kLeastLeft, whole - gone));
+    longest = std::max(longest, std::max(kMinTimeLeft, whole - gone));
   }
   return longest;
 }
 
-// By service, as many hosts as the persistent tasks that must stand apart need,
-// and those that may be away at the time.
-std::map<std::string, uint32_t> Leadership::HostsForPersistent(
+// By service, the number of hosts that its persistent tasks with a spread limit
+// need, plus the hosts that may be away.
+std::map<std::string, uint32_t> Leadership::MinHostsForPersistentTasks(
     const Ledger& ledger) {
   std::map<std::string, uint32_t> hosts;
   for (const std::string& id : ledger.open_jobs()) {
@@ -268,40 +279,41 @@
     for (const auto& step : job.spec.steps) {
       if (step.is_persistent && step.spread_limit > 0 && step.count > 0) {
         uint32_t& most = hosts[ledger.ServiceOf(job)];
-        most =
-            std::max(most, kHostsAway + (step.count + step.spread_limit - 1) /
-                                            step.spread_limit);
+        most = std::max(
+            most, kMaxHostsAway +
+                      (step.count + step.spread_limit - 1) / step.spread_limit);
       }
     }
   }
   return hosts;
 }
 
-// The greatest need of the last seconds.
-double Leadership::HoldNeed(double cores) {
+// Records the total need and returns its peak within kPeakNeedPeriod.
+double Leadership::RecordPeakNeed(double cores) {
   const SteadyTime now = Now();
-  while (!m_peaks.empty() && (m_peaks.back().second <= cores)) {
-    m_peaks.pop_back();
+  while (!m_peak_needs.empty() && (m_peak_needs.back().second <= cores)) {
+    m_peak_needs.pop_back();
   }
-  m_peaks.emplace_back(now, cores);
-  while (now - m_peaks.front().first > kHoldNeed) {
-    m_peaks.pop_front();
+  m_peak_needs.emplace_back(now, cores);
+  while (now - m_peak_needs.front().first > kPeakNeedPeriod) {
+    m_peak_needs.pop_front();
   }
-  return m_peaks.front().second;
+  return m_peak_needs.front().second;
 }
 
-// Whether a worker can be counted on for its pool: not one that leaves, nor one
-// that was not heard of for longer than a slow moment lasts.
+// Whether a worker counts for its pool. It does not when it is draining, its
+// lease has lapsed, or nothing was received from it for kServingTimeout plus
+// this leader's own delay.
 bool Leadership::Serves(const Worker& worker) const {
   const WorkerLink& link = m_links.at(worker.info.id);
-  // One that has just come may not have been looked at yet.
+  // A new worker may not have been polled yet.
   const SteadyTime heard =
       link.is_reached ? link.last_contact : link.last_announced;
   return !worker.info.is_draining && !link.is_lapsed &&
-         Now() - heard < kNotServing + OwnDelay();
+         Now() - heard < kServingTimeout + OwnDelay();
 }
 
-Millis Leadership::IdleFor(const std::string& host, double busy_cores) {
+Millis Leadership::UpdateIdleTime(const std::string& host, double busy_cores) {
   if (busy_cores > 0) {
     m_idle_since.erase(host);
     return Millis(0);
@@ -310,7 +322,7 @@
   return std::chrono::floor<Millis>(Now() - since);
 }
 
-scheduling::PoolWeights Leadership::WeighPools(
+scheduling::PoolWeights Leadership::MakePoolWeights(
     const std::vector<PoolNeed>& pools) {
   double needed = 0;
   for (const PoolNeed& pool : pools) {
@@ -318,27 +330,27 @@
   }
   const auto& mechanisms = m_init.mechanisms;
   scheduling::PoolWeights weights;
-  weights.held_cores = HoldNeed(needed);
+  weights.held_cores = RecordPeakNeed(needed);
   weights.may_park = mechanisms.Has(Mechanism::kParking);
   if (!mechanisms.Has(Mechanism::kLeastStay)) {
     weights.least_stay = Millis(0);
   }
   if (!mechanisms.Has(Mechanism::kEmptyingLimit)) {
-    weights.longest_emptying = kLongestEmptying;
+    weights.longest_emptying = kMaxMoveDrainTime;
   }
   return weights;
 }
 
-// How many more hosts may be set aside now: as many as acts can soon go out
-// for.
-size_t Leadership::MostMoves(const Ledger& ledger) const {
+// How many more hosts may be chosen for a move now, by the bound that
+// kActionsAhead sets.
+size_t Leadership::MaxNewMoves(const Ledger& ledger) const {
   size_t ready = 0;
   for (const auto& [host, track] : m_moves) {
     const Worker* worker = WorkerOn(ledger, host);
     const bool is_empty = worker == nullptr || worker->active.empty();
     ready += track.ordered_at == SteadyTime() && is_empty ? 1 : 0;
   }
-  const size_t most = kActsAhead * m_init.hosts->acts_at_once();
+  const size_t most = kActionsAhead * m_init.hosts->acts_at_once();
   return most > ready ? most - ready : 0;
 }
 
@@ -370,7 +382,8 @@
 
 void Leadership::ChooseMoves(const Ledger& ledger) {
   const std::map<std::string, ServiceNeed> needs = NeededCores(ledger);
-  const std::map<std::string, uint32_t> persistent = HostsForPersistent(ledger);
+  const std::map<std::string, uint32_t> persistent =
+      MinHostsForPersistentTasks(ledger);
   std::vector<PoolNeed> pools;
   for (const auto& service : ledger.configuration().services) {
     const ServiceNeed& need = needs.at(service.name);
@@ -383,7 +396,7 @@
   for (const auto& [host, state] : m_inventory) {
     const auto move = m_moves.find(host);
     const Worker* worker = WorkerOn(ledger, host);
-    const bool is_off = IsSpare(ledger, state.pool);
+    const bool is_off = IsSparePool(ledger, state.pool);
     PoolHost& out = hosts.emplace_back();
     out.host = host;
     out.service = move == m_moves.end() ? state.pool : move->second.to;
@@ -394,19 +407,19 @@
                                            worker->persistent_millicores) /
                        1000;
     }
-    out.idle_for = IdleFor(host, out.busy_cores);
+    out.idle_for = UpdateIdleTime(host, out.busy_cores);
     const bool is_idle_worker =
         worker != nullptr && IsUsable(*worker, m_links.at(worker->info.id)) &&
         worker->persistent_runs == 0;
     out.is_movable =
         state.is_up && !IsEvacuated(host) && (is_off || is_idle_worker);
     if (worker != nullptr && out.is_movable) {
-      out.empties_in = EmptiesIn(ledger, *worker);
+      out.empties_in = EstimateDrainTime(ledger, *worker);
     }
     const bool is_served =
         worker == nullptr ? is_off || move != m_moves.end() : Serves(*worker);
     if (!state.is_up || !is_served) {
-      out.cores = 0;  // Serves nobody where it is.
+      out.cores = 0;  // Adds no capacity to its pool.
     }
   }
   const SteadyTime now = Now();
@@ -416,15 +429,15 @@
       ReportPool(pool, hosts);
     }
   }
-  scheduling::PoolWeights weights = WeighPools(pools);
-  weights.most_moves = std::min(weights.most_moves, MostMoves(ledger));
+  scheduling::PoolWeights weights = MakePoolWeights(pools);
+  weights.most_moves = std::min(weights.most_moves, MaxNewMoves(ledger));
   for (const PoolMove& move :
        PlanMoves(pools, std::move(hosts), weights, now)) {
     const std::string& from = m_inventory[move.host].pool;
     if (m_refused_moves.contains({move.host, move.to})) {
       continue;
     }
-    MoveTrack& track = m_moves[move.host];
+    HostMove& track = m_moves[move.host];
     track.to = move.to;
     track.chosen_at = now;
     const auto of = [&](const std::string& service) {
@@ -443,12 +456,12 @@
   }
 }
 
-void Leadership::StepMove(const Ledger& ledger,
-                          const std::string& host,
-                          MoveTrack& track) {
+void Leadership::AdvanceMove(const Ledger& ledger,
+                             const std::string& host,
+                             HostMove& track) {
   const SteadyTime now = Now();
   if (track.ordered_at != SteadyTime() || track.is_act_under_way ||
-      now < track.next_try || now - track.chosen_at < kSettles) {
+      now < track.next_try || now - track.chosen_at < kMoveSettleTime) {
     return;
   }
   const auto& lives = ledger.WorkersOn(host);
@@ -481,9 +494,9 @@
   if (found == m_moves.end()) {
     return;
   }
-  MoveTrack& track = found->second;
+  HostMove& track = found->second;
   track.is_act_under_way = false;
-  track.next_try = Now() + kActRetry;
+  track.next_try = Now() + kMoveRetry;
   DecisionLog::Get().Write(DecisionLine("pools", "moved")
                                .With("host", host)
                                .With("to", track.to)
@@ -500,7 +513,8 @@
     m_refused_moves.insert({host, track.to});
     m_moves.erase(found);
   } else if (outcome == HostActOutcome::kBusy) {
-    m_inventory[host].is_up = false;  // Until it or the list says otherwise.
+    // Until its worker announces itself or the list of hosts says otherwise.
+    m_inventory[host].is_up = false;
     m_next_list = std::min(m_next_list, Now() + kListRetry);
     m_moves.erase(found);
   }
--- a/packages/dispatch/src/waves.cc
+++ b/packages/dispatch/src/waves.cc
@@ -12,36 +12,40 @@
 
 namespace {
 
-constexpr Millis kActRetry{300};
-constexpr Millis kSettles{80};
-// A host that did not come back for so many times the usual counts as back, or
-// one lost host would stop its wave for good.
-constexpr int kLostAfterTimes = 3;
-// How long short tasks may take to end before a host is taken down all the
-// same: the longest usual ones last about four seconds.
-constexpr Millis kLongestDrain{5'000};
-// Hosts being emptied beside those that are down, so that the next is ready
-// when one comes back.
-constexpr size_t kPreparedAhead = 1;
-// A persistent task that finds no place for so long has none: all that it may
-// go to are being emptied, or are full.
-constexpr Millis kNoPlace{500};
-// A host that is given back to its service for such a task stays for so long:
-// until the task is seen at work, and those that wait for it have left.
-constexpr Millis kSpared{3'000};
-// What a host is away for besides the maintenance itself: emptying before, an
-// announcement and a look after.
-constexpr Millis kAroundMaintenance{2'500};
-// A wave is planned to be done so long before its time.
+constexpr Millis kActionRetry{300};
+// Starts that were in flight when a host was chosen are committed after this.
+constexpr Millis kSettleTime{80};
+// A host that has been away for this many maintenance periods counts as done,
+// or one lost host would stop its wave for good.
+constexpr int kLostAfterPeriods = 3;
+// How long short tasks may take to end before their host is taken down all the
+// same; the longest common ones run for about 4 s.
+constexpr Millis kMaxDrainTime{5'000};
+// Hosts that are drained in addition to those that are down, so that the next
+// one is empty when one comes back.
+constexpr size_t kDrainedAhead = 1;
+// After this time without a place for its tasks, a persistent step is taken to
+// have none: all hosts that it may use are being drained or are full.
+constexpr Millis kNoPlaceTimeout{500};
+// How long the maintenance of a host is deferred for such a task: long enough
+// for the task to be seen running, and for those that wait for it to leave
+// their hosts.
+constexpr Millis kDeferralTime{3'000};
+// Time that a host is unavailable in addition to the maintenance itself: it is
+// drained before, and announces itself and is polled after.
+constexpr Millis kMaintenanceOverhead{2'500};
+// A wave is planned to finish this long before the end of its duration.
 constexpr Millis kWaveReserve{4'000};
-// Of a run on a host, in shares of its pool's use.
+// Cost of one run on a host, in the unit of its pool's utilization (0 to 1).
 constexpr double kRunCost = 0.02;
-// Hosts of persistent tasks come before the others: these tasks leave a few of
-// a step at a time, which takes most of a wave where it begins late.
+// Hosts with persistent tasks are chosen before the others: only a few tasks of
+// a step may leave at a time, which takes most of a wave if it begins late.
 constexpr double kPersistentCost = -0.5;
+// Hosts that are off are chosen first.
 constexpr double kOffCost = -1;
-// A host that is off comes back without a word.
-constexpr double kOffReturns = 1.3;
+// A host that was off before its maintenance announces nothing after it. It
+// counts as done after this many maintenance periods.
+constexpr double kOffReturnPeriods = 1.3;
 
 }  // namespace
 
@@ -65,7 +69,7 @@
     for (const auto& [host, stage] : wave.hosts) {
       const auto track = m_hosts.find(host);
       if (track != m_hosts.end() && track->second.wave == number) {
-        StepHost(ledger, wave, host, track->second, records);
+        AdvanceHost(ledger, wave, host, track->second, records);
       }
     }
   }
@@ -78,8 +82,8 @@
   }
 }
 
-// As many at once as it takes to be done in time, with some to spare; fewer
-// hosts away leave more for callers.
+// How many hosts must be under maintenance at once for the wave to end in time,
+// plus one. No more than that, as each host away is capacity that callers lack.
 size_t Leadership::HostsAtOnce(const scheduling::WaveState& wave) const {
   const auto elapsed = std::max(
       Millis(0),
@@ -90,15 +94,16 @@
   for (const auto& [host, stage] : wave.hosts) {
     hosts += stage == WaveStage::kDone ? 0 : 1;
   }
-  const Millis each = m_init.bounds.maintenance + kAroundMaintenance;
+  const Millis each = m_init.bounds.maintenance + kMaintenanceOverhead;
   const int64_t wanted = 1 + hosts * each.count() / left.count();
   return static_cast<size_t>(
       std::min<int64_t>(wanted, wave.opened.most_at_once));
 }
 
-// How many hosts of a wave are under way, with those that an earlier leader
-// ordered: whether that was carried out is not known.
-size_t Leadership::TakeOver(const scheduling::WaveState& wave) {
+// Counts the hosts of a wave that this leader has chosen, and takes over those
+// that an earlier leader ordered, as it isn't known whether that order was
+// carried out.
+size_t Leadership::AdoptOrderedHosts(const scheduling::WaveState& wave) {
   const uint64_t number = wave.opened.wave;
   size_t chosen = 0;
   for (const auto& [host, stage] : wave.hosts) {
@@ -116,25 +121,26 @@
   return chosen;
 }
 
-// Hosts that are off first, then those with persistent tasks, then those of the
-// pool that needs its hosts least, and of one pool those that do least.
+// Chooses hosts that are off first, then hosts with persistent tasks, then by
+// the utilization of their pool and the number of their runs, lowest first.
 void Leadership::ChooseHosts(const Ledger& ledger,
                              const scheduling::WaveState& wave) {
   const uint64_t number = wave.opened.wave;
   const size_t at_once = HostsAtOnce(wave);
-  size_t chosen = TakeOver(wave);
-  if (chosen >= at_once + kPreparedAhead) {
+  size_t chosen = AdoptOrderedHosts(wave);
+  if (chosen >= at_once + kDrainedAhead) {
     return;
   }
-  std::map<std::string, std::pair<double, double>> pools;  // Room, used.
+  std::map<std::string, std::pair<double, double>> pools;  // Millicores, used.
   for (const auto& [id, worker] : ledger.workers()) {
-    auto& [room, used] = pools[worker.info.service];
-    room += static_cast<double>(worker.info.capacity.millicores);
+    auto& [total, used] = pools[worker.info.service];
+    total += static_cast<double>(worker.info.capacity.millicores);
     used += static_cast<double>(worker.used.millicores);
   }
   std::vector<std::pair<double, std::string>> waiting;
   for (const auto& [host, stage] : wave.hosts) {
-    if (stage != WaveStage::kWaiting || IsEvacuated(host) || IsSpared(host)) {
+    if (stage != WaveStage::kWaiting || IsEvacuated(host) ||
+        IsMaintenanceDeferred(host)) {
       continue;
     }
     const Worker* worker = WorkerOn(ledger, host);
@@ -142,15 +148,15 @@
     if (worker != nullptr && worker->persistent_runs > 0) {
       cost = kPersistentCost;
     } else if (worker != nullptr) {
-      const auto& [room, used] = pools[worker->info.service];
-      cost = used / std::max(1.0, room) +
+      const auto& [total, used] = pools[worker->info.service];
+      cost = used / std::max(1.0, total) +
              kRunCost * static_cast<double>(worker->active.size());
     }
     waiting.emplace_back(cost, host);
   }
   std::sort(waiting.begin(), waiting.end());
   for (const auto& [cost, host] : waiting) {
-    if (chosen >= at_once + kPreparedAhead) {
+    if (chosen >= at_once + kDrainedAhead) {
       return;
     }
     m_hosts[host] = {number, Now(), false, Now(), {}, {}};
@@ -164,9 +170,10 @@
   }
 }
 
-// Whether others of its step have no run: it waits for them, and they may be
-// waiting for its host.
-bool Leadership::WaitsForUnplaced(const Ledger& ledger, const TaskId& task) {
+// Whether other tasks of a task's step have no run. The task may not leave
+// before they run, and they may be waiting for its host.
+bool Leadership::WaitsForUnplacedTasks(const Ledger& ledger,
+                                       const TaskId& task) {
   const Job& job = *ledger.FindJob(task.job);
   const size_t first = job.IndexOf({task.job, task.occurrence, task.step, 0});
   const uint32_t count = job.spec.steps[task.step].count;
@@ -177,21 +184,24 @@
                      });
 }
 
-bool Leadership::IsSpared(const std::string& host) const {
-  return std::any_of(m_spared.begin(), m_spared.end(), [&](const auto& entry) {
-    return entry.second.host == host && Now() < entry.second.until;
-  });
+bool Leadership::IsMaintenanceDeferred(const std::string& host) const {
+  return std::any_of(
+      m_deferred_hosts.begin(), m_deferred_hosts.end(), [&](const auto& entry) {
+        return entry.second.host == host && Now() < entry.second.until;
+      });
 }
 
-// Gives a host that is being emptied back to its service, one at a time. Else a
-// wave that takes all hosts of a service would keep a task that has left one of
-// them from work, and the others from leaving.
-bool Leadership::Spare(const std::string& host, const Worker& worker) {
-  SparedHost& spared = m_spared[worker.info.service];
-  if (Now() < spared.until) {
+// Defers the maintenance of a host that is being drained, so that its service
+// may use it again; one host of a service at a time. Without this, a wave over
+// all hosts of a service would leave a task that has left its host without a
+// place, and the other tasks of its step would not be allowed to leave theirs.
+bool Leadership::DeferMaintenance(const std::string& host,
+                                  const Worker& worker) {
+  DeferredHost& deferred_host = m_deferred_hosts[worker.info.service];
+  if (Now() < deferred_host.until) {
     return false;
   }
-  spared = {host, Now() + kSpared};
+  deferred_host = {host, Now() + kDeferralTime};
   DecisionLog::Get().Write(
       DecisionLine("wave", "host-spared")
           .With("host", host)
@@ -200,8 +210,8 @@
   return true;
 }
 
-// Whether a wave will take a worker's host down: what lasts would have to leave
-// it again.
+// Whether a wave will take a host down later. A persistent task placed there
+// would have to move again.
 bool Leadership::IsDueForMaintenance(const Ledger& ledger,
                                      const std::string& host) {
   return std::any_of(
@@ -212,10 +222,11 @@
       });
 }
 
-// How many other hosts of a wave may be down: all that were ordered and are not
-// known to be back, whatever came of the order and whoever gave it.
-size_t Leadership::CountDown(const scheduling::WaveState& wave,
-                             const std::string& besides) const {
+// Counts the other hosts of a wave that may be down: all for which maintenance
+// was ordered, by any leader and with any outcome, and which are not known to
+// be back.
+size_t Leadership::CountHostsDown(const scheduling::WaveState& wave,
+                                  const std::string& besides) const {
   size_t down = 0;
   for (const auto& [host, stage] : wave.hosts) {
     const auto track = m_hosts.find(host);
@@ -227,11 +238,11 @@
   return down;
 }
 
-// Lets the persistent tasks of a host leave, as many as may be away, and tells
-// what is left there, of whichever life.
-Leadership::HostUse Leadership::EmptyHost(const Ledger& ledger,
-                                          const std::string& host) {
-  HostUse use;
+// Stops the persistent tasks on a host as far as their steps may miss them, and
+// returns what all incarnations of its worker still run.
+Leadership::HostWorkload Leadership::DrainHost(const Ledger& ledger,
+                                               const std::string& host) {
+  HostWorkload use;
   for (const std::string& life : ledger.WorkersOn(host)) {
     for (const TaskId& id : ledger.FindWorker(life)->active) {
       const Job& job = *ledger.FindJob(id.job);
@@ -239,7 +250,8 @@
       if (!job.spec.steps[id.step].is_persistent) {
         continue;
       }
-      // Also one that is to be stopped: until that is told it may be at work.
+      // Includes tasks that are being stopped: until their end is reported they
+      // may be running.
       use.has_persistent = true;
       for (const auto& active : job.tasks[job.IndexOf(id)].active) {
         const auto run = m_runs.find({id, active.run});
@@ -251,7 +263,8 @@
           WantStop(run->first, run->second, StopReason::kMaintenance,
                    OthersAway(ledger, id));
         } else {
-          use.is_stuck = use.is_stuck || WaitsForUnplaced(ledger, id);
+          use.is_leave_blocked =
+              use.is_leave_blocked || WaitsForUnplacedTasks(ledger, id);
         }
       }
     }
@@ -259,26 +272,26 @@
   return use;
 }
 
-void Leadership::StepHost(const Ledger& ledger,
-                          const scheduling::WaveState& wave,
-                          const std::string& host,
-                          HostTrack& track,
-                          Records& records) {
+void Leadership::AdvanceHost(const Ledger& ledger,
+                             const scheduling::WaveState& wave,
+                             const std::string& host,
+                             HostMaintenance& track,
+                             Records& records) {
   const SteadyTime now = Now();
   const Worker* worker = WorkerOn(ledger, host);
   if (track.down_since != SteadyTime()) {
     const auto away = now - track.down_since;
-    // A life that was not known when its host was taken down may announce
-    // itself late: only one that came when the maintenance was over is new.
+    // An incarnation from before the maintenance may announce itself late, so
+    // only one that is there after the maintenance period counts as new.
     const bool is_back = worker != nullptr &&
                          !track.life_before.IsSame(*worker) &&
                          away >= m_init.bounds.maintenance;
-    const bool is_off_again =
+    const bool is_off_host_back =
         track.life_before.id.empty() &&
         away > std::chrono::duration_cast<Millis>(m_init.bounds.maintenance *
-                                                  kOffReturns);
-    const bool is_lost = away > kLostAfterTimes * m_init.bounds.maintenance;
-    if (is_back || is_off_again || is_lost) {
+                                                  kOffReturnPeriods);
+    const bool is_lost = away > kLostAfterPeriods * m_init.bounds.maintenance;
+    if (is_back || is_off_host_back || is_lost) {
       records.emplace_back(
           scheduling::WaveHostSet{wave.opened.wave, host, WaveStage::kDone});
     }
@@ -287,28 +300,27 @@
   if (track.is_act_under_way || now < track.next_try) {
     return;
   }
-  const HostUse use = EmptyHost(ledger, host);
-  if (!use.is_stuck) {
-    track.stuck_since = SteadyTime();
-  } else if (track.stuck_since == SteadyTime()) {
-    track.stuck_since = now;
+  const HostWorkload use = DrainHost(ledger, host);
+  if (!use.is_leave_blocked) {
+    track.blocked_since = SteadyTime();
+  } else if (track.blocked_since == SteadyTime()) {
+    track.blocked_since = now;
   }
-  if (use.is_stuck && now - track.stuck_since > kNoPlace &&
-      Spare(host, *worker)) {
+  if (use.is_leave_blocked && now - track.blocked_since > kNoPlaceTimeout &&
+      DeferMaintenance(host, *worker)) {
     m_hosts.erase(host);
     PlanSoon();
     return;
   }
-  // Short work may be cut off in the end, persistent tasks never: each is
-  // stopped by itself, when enough of its step are at work.
-  const bool may_cut =
-      now - track.chosen_at > kLongestDrain && !use.has_persistent;
-  // Starts that were under way when it was chosen are committed by then.
+  // Short tasks may be cut off in the end. Persistent tasks never are: each is
+  // stopped on its own, when enough tasks of its step are running.
+  const bool may_cut_off =
+      now - track.chosen_at > kMaxDrainTime && !use.has_persistent;
   const bool is_settled =
-      now - track.chosen_at > kSettles &&
+      now - track.chosen_at > kSettleTime &&
       (worker == nullptr || !m_planner.HasPlanned(worker->info.id));
-  if (!is_settled || (!use.is_empty && !may_cut) ||
-      CountDown(wave, host) >= wave.opened.most_at_once) {
+  if (!is_settled || (!use.is_empty && !may_cut_off) ||
+      CountHostsDown(wave, host) >= wave.opened.most_at_once) {
     return;
   }
   track.life_before = LifeOf(worker);
@@ -318,7 +330,7 @@
     Maintain(wave.opened.wave, host);
     return;
   }
-  // Committed first, so that the next leader counts it as down.
+  // Committed first, so that the next leader counts the host as down.
   Commit({scheduling::WaveHostSet{wave.opened.wave, host, WaveStage::kOrdered}},
          [this, number = wave.opened.wave,
           host](scheduling::CommitOutcome outcome) {
@@ -367,15 +379,15 @@
   if (found == m_hosts.end()) {
     return;
   }
-  HostTrack& track = found->second;
+  HostMaintenance& track = found->second;
   track.is_act_under_way = false;
-  track.next_try = Now() + kActRetry;
+  track.next_try = Now() + kActionRetry;
   if (outcome == HostActOutcome::kDone) {
     track.down_since = Now();
-    // Its life has ended with the act.
+    // Taking the host down ended the incarnation of its worker.
     EndLife(track.life_before, "its host is maintained");
   } else if (outcome == HostActOutcome::kRefused) {
-    // No such host any more: nothing is left to maintain.
+    // The host no longer exists, so there is nothing to maintain.
     Commit({scheduling::WaveHostSet{wave, host, WaveStage::kDone}},
            [this](scheduling::CommitOutcome) { PlanSoon(); });
   }
