--- a/packages/dispatch/tests/admission_limit_test.cc
+++ b/packages/dispatch/tests/admission_limit_test.cc
@@ -12,18 +12,20 @@
 namespace laurelhall::dispatch {
 namespace {
 
-// Callers ask entry hosts, these ask a leader that answers so many requests a
-// second, in the order in which they came. Time goes in milliseconds.
+// A model of callers that send requests to entry hosts, which forward them to a
+// leader that answers kAnswersPerSecond requests per second in order of
+// arrival. It advances in steps of 1 ms.
 class OverloadModel {
  public:
   static constexpr int kHosts = 300;
-  static constexpr int kPerSecond = 1'000;
-  static constexpr Millis kPatience{600};
+  static constexpr int kAnswersPerSecond = 1'000;
+  static constexpr Millis kRequestTimeout{600};
 
   OverloadModel(uint64_t seed, bool has_limit)
       : m_random(seed), m_has_limit(has_limit), m_limits(kHosts) {}
 
-  // Returns answers in time, as a share of what could be answered.
+  // Returns the requests answered in time as a share of those that could have
+  // been answered.
   double Play(Millis time, double per_second) {
     int in_time = 0;
     int asked = 0;
@@ -34,20 +36,21 @@
         Ask();
         ++asked;
       }
-      GiveUp();
+      TimeOut();
       in_time += Answer();
     }
-    const double most = static_cast<double>(time.count()) * kPerSecond / 1'000;
+    const double most =
+        static_cast<double>(time.count()) * kAnswersPerSecond / 1'000;
     return in_time / std::min<double>(asked, most);
   }
 
   int refused() const { return m_refused; }
 
  private:
-  struct Question {
+  struct PendingRequest {
     int host = 0;
-    SteadyTime asked_at{};
-    bool is_given_up = false;
+    SteadyTime requested_at{};
+    bool is_timed_out = false;
   };
 
   void Ask() {
@@ -62,30 +65,31 @@
     m_queue.push_back({host, m_now});
   }
 
-  void Leave(const Question& question, AskedOutcome outcome) {
+  void Leave(const PendingRequest& pending_request, AskedOutcome outcome) {
     if (m_has_limit) {
-      m_limits[static_cast<size_t>(question.host)].Leave(
-          std::chrono::floor<Millis>(m_now - question.asked_at), outcome,
-          m_now);
+      m_limits[static_cast<size_t>(pending_request.host)].Leave(
+          std::chrono::floor<Millis>(m_now - pending_request.requested_at),
+          outcome, m_now);
     }
   }
 
-  void GiveUp() {
-    for (Question& question : m_queue) {
-      if (!question.is_given_up && m_now - question.asked_at >= kPatience) {
-        question.is_given_up = true;
-        Leave(question, AskedOutcome::kNotAnswered);
+  void TimeOut() {
+    for (PendingRequest& pending_request : m_queue) {
+      if (!pending_request.is_timed_out &&
+          m_now - pending_request.requested_at >= kRequestTimeout) {
+        pending_request.is_timed_out = true;
+        Leave(pending_request, AskedOutcome::kNotAnswered);
       }
     }
   }
 
-  // What nobody waits for any more costs the leader as much.
+  // A request that has timed out costs the leader as much as any other.
   int Answer() {
     int in_time = 0;
-    m_budget = std::min(m_budget + kPerSecond / 1'000.0, 10.0);
+    m_budget = std::min(m_budget + kAnswersPerSecond / 1'000.0, 10.0);
     while (m_budget >= 1 && !m_queue.empty()) {
       m_budget -= 1;
-      if (!m_queue.front().is_given_up) {
+      if (!m_queue.front().is_timed_out) {
         Leave(m_queue.front(), AskedOutcome::kAnswered);
         ++in_time;
       }
@@ -97,13 +101,13 @@
   std::mt19937_64 m_random;
   const bool m_has_limit;
   std::vector<AdmissionLimit> m_limits;
-  std::deque<Question> m_queue;
+  std::deque<PendingRequest> m_queue;
   SteadyTime m_now{};
   double m_budget = 0;
   int m_refused = 0;
 };
 
-TEST_CASE("AdmissionLimit, answers come soon, takes in more") {
+TEST_CASE("AdmissionLimit, answers are fast, limit rises") {
   AdmissionLimit limit;
   const size_t before = limit.limit();
   SteadyTime now{};
@@ -119,7 +123,7 @@
   CHECK(limit.limit() > 2 * before);
 }
 
-TEST_CASE("AdmissionLimit, answers come soon to few requests, stays") {
+TEST_CASE("AdmissionLimit, answers to few requests are fast, limit stays") {
   AdmissionLimit limit;
   const size_t before = limit.limit();
   for (int request = 0; request < 1'000; ++request) {
@@ -131,7 +135,7 @@
   CHECK(limit.limit() == before);
 }
 
-TEST_CASE("AdmissionLimit, no answer comes, one at a time is taken in") {
+TEST_CASE("AdmissionLimit, requests time out, one at a time is admitted") {
   AdmissionLimit limit;
   SteadyTime now{};
   for (int round = 0; round < 20; ++round) {
@@ -147,13 +151,14 @@
 }
 
 TEST_CASE(
-    "AdmissionLimit, disks are slow and one answer is lost, rises again") {
+    "AdmissionLimit, disks are slow and one answer is lost, limit rises "
+    "again") {
   AdmissionLimit limit;
   SteadyTime now{Millis(10'000)};
   limit.Enter();
   limit.Leave(Millis(600), AskedOutcome::kNotAnswered, now);
   const size_t lowered = limit.limit();
-  // A leader at rest whose quorum's disks take 160 ms to sync.
+  // An idle leader whose quorum's disks take 160 ms to sync.
   for (int round = 0; round < 100; ++round) {
     now += Millis(160);
     while (limit.MayEnter()) {
@@ -166,8 +171,8 @@
   CHECK(limit.limit() > lowered);
 }
 
-// While leaders change, what waits for one is not the mark of a busy one.
-TEST_CASE("AdmissionLimit, no leader is known, stays") {
+// Requests that wait while leaders change don't show that a leader is busy.
+TEST_CASE("AdmissionLimit, no leader is known, limit stays") {
   AdmissionLimit limit;
   const size_t before = limit.limit();
   for (int request = 0; request < 20; ++request) {
@@ -179,13 +184,13 @@
   CHECK(limit.limit() == before);
 }
 
-// Served in time at some times what the leader can answer, against its best;
-// and soon after the load has gone.
-TEST_CASE("AdmissionLimit, many times the load, what is answered stays") {
+// Under a multiple of the leader's capacity at least 90 % of that capacity is
+// answered in time, and so is the load after the overload has ended.
+TEST_CASE("AdmissionLimit, overload, throughput stays") {
   for (const uint64_t seed : SeedsToPlay(10)) {
     for (const double times : {0.5, 0.9, 2.0, 5.0, 20.0}) {
       OverloadModel model(seed, true);
-      const double asked = times * OverloadModel::kPerSecond;
+      const double asked = times * OverloadModel::kAnswersPerSecond;
       model.Play(Seconds(4), asked);
       const double served = model.Play(Seconds(5), asked);
       CHECK_MESSAGE(served >= 0.9, "seed ", seed, ", ", times, " times");
@@ -195,10 +200,10 @@
   }
 }
 
-TEST_CASE("AdmissionLimit, left out, the model notices") {
+TEST_CASE("AdmissionLimit, not used, throughput falls under overload") {
   OverloadModel model(1, false);
-  model.Play(Seconds(2), 2 * OverloadModel::kPerSecond);
-  CHECK(model.Play(Seconds(5), 2 * OverloadModel::kPerSecond) < 0.5);
+  model.Play(Seconds(2), 2 * OverloadModel::kAnswersPerSecond);
+  CHECK(model.Play(Seconds(5), 2 * OverloadModel::kAnswersPerSecond) < 0.5);
 }
 
 }  // namespace
--- a/packages/dispatch/tests/dispatcher_test.cc
+++ b/packages/dispatch/tests/dispatcher_test.cc
@@ -14,7 +14,7 @@
  protected:
   DispatcherFixture() { world.AddWorkers(3); }
 
-  void CheckClean() const {
+  void CheckNoViolations() const {
     for (const std::string& violation : world.violations()) {
       FAIL_CHECK(violation);
     }
@@ -28,7 +28,7 @@
   world.Advance(Millis(3'000));
   CHECK(world.StateOf("a") == JobState::kSucceeded);
   CHECK(world.starts() == 10);
-  CheckClean();
+  CheckNoViolations();
 }
 
 TEST_CASE_FIXTURE(DispatcherFixture,
@@ -38,7 +38,7 @@
   world.Advance(Millis(10'000));
   CHECK(world.StateOf("a") == JobState::kSucceeded);
   CHECK(world.starts() == 10);
-  CheckClean();
+  CheckNoViolations();
 }
 
 TEST_CASE_FIXTURE(DispatcherFixture,
@@ -50,7 +50,7 @@
   world.Advance(Millis(40'000));
   CHECK(world.StateOf("a") == JobState::kSucceeded);
   CHECK(world.StateOf("c") == JobState::kSucceeded);
-  CheckClean();
+  CheckNoViolations();
 }
 
 TEST_CASE_FIXTURE(DispatcherFixture,
@@ -61,7 +61,7 @@
   world.Advance(Millis(5'000));
   CHECK(world.StateOf("a") == JobState::kSucceeded);
   CHECK(world.starts() == 18);
-  CheckClean();
+  CheckNoViolations();
 }
 
 TEST_CASE_FIXTURE(DispatcherFixture,
@@ -81,7 +81,7 @@
   CHECK(world.StateOf("a") == JobState::kRunning);
   world.Advance(Millis(6'000));
   CHECK(world.StateOf("a") == JobState::kSucceeded);
-  CheckClean();
+  CheckNoViolations();
 }
 
 TEST_CASE_FIXTURE(DispatcherFixture,
@@ -111,7 +111,7 @@
   world.Cut("w1", false);
   world.Advance(Millis(3'000));
   CHECK(world.ledger().FindJob("a")->active_runs == 3);
-  CheckClean();
+  CheckNoViolations();
 }
 
 TEST_CASE_FIXTURE(
@@ -124,8 +124,8 @@
   CHECK(world.starts() == 3);
 }
 
-// Failed first: a resend of a known job was acknowledged over a route that the
-// configuration in force no longer has.
+// Guards against acknowledging a resubmission of a known job through a queue
+// that the configuration in force no longer has.
 TEST_CASE_FIXTURE(DispatcherFixture,
                   "Dispatcher, known job over a dropped queue, no such queue") {
   scheduling::JobSpec spec;
@@ -146,7 +146,7 @@
   CHECK(world.Ask(CountWaiting{"q", "/q/"}).outcome == Outcome::kNoQueue);
 }
 
-// Organisations a and b with a key each, a queue that asks for them and one
+// Organisations a and b with a key each, a queue that requires a key and one
 // that is open.
 class KeyedQueueFixture : public DispatcherFixture {
  protected:
@@ -180,7 +180,7 @@
   }
 };
 
-// Failed first: any key opened every queue.
+// Guards against accepting any key for every queue.
 TEST_CASE_FIXTURE(KeyedQueueFixture,
                   "Dispatcher, unknown key or none, refused and nothing runs") {
   CHECK(Submit("key-x") == Outcome::kNoAccess);
@@ -193,7 +193,7 @@
 }
 
 TEST_CASE_FIXTURE(KeyedQueueFixture,
-                  "Dispatcher, open queue, takes jobs of nobody") {
+                  "Dispatcher, open queue and no key, accepts the job") {
   scheduling::JobSpec spec;
   spec.steps = {Step(1)};
   CHECK(world.Ask(SubmitJob{"q", "/open/job", "job", spec}).outcome ==
@@ -202,8 +202,9 @@
   CHECK(world.ledger().FindJob("job")->organisation.empty());
 }
 
-TEST_CASE_FIXTURE(KeyedQueueFixture,
-                  "Dispatcher, keys turn, the job stays its organisation's") {
+TEST_CASE_FIXTURE(
+    KeyedQueueFixture,
+    "Dispatcher, key is replaced, the job stays its organisation's") {
   CHECK(Submit("key-a") == Outcome::kOk);
   Identify({{"a", "key-a2"}, {"b", "key-b"}});
   CHECK(Get("key-a") == Outcome::kNoAccess);
@@ -224,7 +225,8 @@
         Outcome::kOk);
 }
 
-// The configuration is read only after a quorum's word.
+// A host that does not lead can't refuse a key: a request is refused only after
+// a quorum has confirmed that the configuration is the newest.
 TEST_CASE_FIXTURE(KeyedQueueFixture,
                   "Dispatcher, a host that does not lead, refuses no key") {
   scheduling::JobSpec spec;
@@ -233,10 +235,11 @@
             .outcome == Outcome::kUnavailable);
 }
 
-// Failed first: a worker of a service that is not named here was taken in, and
-// its host seemed to have left its pool.
-TEST_CASE_FIXTURE(DispatcherFixture,
-                  "Dispatcher, announcement names no service, is not taken") {
+// Guards against accepting a worker of a service that is not configured, which
+// made its host seem to have left its pool.
+TEST_CASE_FIXTURE(
+    DispatcherFixture,
+    "Dispatcher, announcement of an unknown service, is refused") {
   scheduling::WorkerInfo info = world.ledger().FindWorker("w0")->info;
   info.id = "stray";
   info.service = "elsewhere";
@@ -277,18 +280,20 @@
   CHECK(world.ledger().FindJob("a")->active_runs == 3);
 }
 
-// Failed first: a wave chose all hosts of a pool at once. A task that had left
-// found no place, and while it was away the others might not leave.
+// Guards against a deadlock of a wave that chooses all hosts of a pool at once:
+// a task that has left its host finds no place, and while it is away the other
+// tasks of its step may not leave theirs.
 TEST_CASE_FIXTURE(DispatcherFixture,
-                  "Wave, all hosts of a service are due, persistent tasks are "
-                  "soon at work again") {
+                  "Wave, all hosts of a service are due, persistent tasks soon "
+                  "run again") {
   StepSpec step = Step(6);
   step.is_persistent = true;
-  step.spread_limit = 2;  // So that each host has two.
+  step.spread_limit = 2;  // Each host runs two tasks.
   step.may_miss = 1;
   world.Submit("a", {step});
   world.Advance(Millis(1'500));
-  // Enough others that three are chosen at once; persistent ones come first.
+  // Enough other hosts for three to be chosen at once; those with persistent
+  // tasks are chosen first.
   std::vector<std::string> due{"host-w0", "host-w1", "host-w2"};
   for (int other = 0; other < 6; ++other) {
     due.push_back("other-" + std::to_string(other));
@@ -309,11 +314,11 @@
   CHECK(longest <= Millis(3'000));
   CHECK(world.ledger().FindJob("a")->active_runs == 6);
   CHECK(world.ledger().waves().at(1).is_done());
-  CheckClean();
+  CheckNoViolations();
 }
 
-// Waves of 440 hosts were late by those with persistent tasks, which came last
-// and whose tasks went to hosts that were due themselves.
+// Guards against late waves, seen with 440 hosts: hosts with persistent tasks
+// were chosen last, and their tasks moved to hosts that were due themselves.
 TEST_CASE(
     "Wave, persistent tasks on hosts that are due, leave them once and first") {
   World world(7);
@@ -332,7 +337,7 @@
     hosts.push_back("host-" + id);
   }
   REQUIRE(due.size() == 4);
-  // Just as many as are needed are not due.
+  // Leaves exactly as many hosts as the tasks need that are not due.
   due.insert(due.end(), idle.begin(), idle.end() - 4);
   world.OpenWave(due);
   world.Advance(Millis(45'000));
@@ -346,7 +351,8 @@
   }
 }
 
-// Failed first: what a silent worker had listed counted as at work.
+// Guards against counting tasks as running that a silent worker listed before
+// it became silent.
 TEST_CASE_FIXTURE(
     WaveFixture,
     "Wave, another task's worker is silent, task is not taken away") {
@@ -357,16 +363,16 @@
   world.Advance(Millis(1'500));
   CHECK(world.worker(busy[1]).runs().size() == 1);
   CHECK(world.maintained().empty());
-  // Started again elsewhere once its lease is over; then the wave goes on.
+  // After its lease has run out, the task is started elsewhere and the wave
+  // continues.
   world.Advance(Millis(12'000));
   CHECK(world.maintained().size() == 1);
 }
 
-// Failed first: a host was maintained 80 ms after it was chosen, while a start
-// on it that was planned before was still to be committed.
-TEST_CASE_FIXTURE(
-    DispatcherFixture,
-    "Wave, start on the host is still to be committed, it waits") {
+// Guards against maintaining a host 80 ms after it was chosen, while a start on
+// it that was planned before is not yet committed.
+TEST_CASE_FIXTURE(DispatcherFixture,
+                  "Wave, start on the host is not committed yet, wave waits") {
   world.Advance(Millis(1'000));
   StepSpec step = Step(3);
   step.is_persistent = true;
@@ -382,10 +388,11 @@
   CHECK(world.cut_off() == 0);
 }
 
-// Failed first: a life that announced itself late made its host count as back
-// from its maintenance, and one host too many was taken down.
+// Guards against taking a late announcement of an earlier incarnation for the
+// host's return from maintenance, which took down one host too many.
 TEST_CASE_FIXTURE(DispatcherFixture,
-                  "Wave, late word of a host's earlier life, host stays down") {
+                  "Wave, late announcement of an earlier incarnation, host "
+                  "stays down") {
   world.OpenWave({"host-x", "host-y", "host-z"});
   world.Advance(Millis(300));
   CHECK(world.maintained().size() == 2);
@@ -396,9 +403,11 @@
   CHECK(world.maintained().size() == 3);
 }
 
-// Failed first: a new leader did not count what the one before had taken down.
+// Guards against a new leader that does not count the hosts that the previous
+// one has taken down.
 TEST_CASE_FIXTURE(DispatcherFixture,
-                  "Wave, new leader while two hosts are down, no third goes") {
+                  "Wave, new leader while two hosts are down, no third is "
+                  "taken down") {
   world.Submit("a", {Step(12)});
   world.Advance(Millis(100));
   world.OpenWave({"host-w0", "host-w1", "host-w2", "host-y", "host-z"});
@@ -416,9 +425,9 @@
   CHECK(world.ledger().waves().at(1).is_done());
 }
 
-class TakeoverFixture : protected DispatcherFixture {
+class NewLeaderFixture : protected DispatcherFixture {
  protected:
-  TakeoverFixture() {
+  NewLeaderFixture() {
     scheduling::Configuration two;
     two.version = 2;
     two.document = "{}";
@@ -435,9 +444,9 @@
   }
 };
 
-// Failed first: to a new leader each host seemed to have come only just now,
-// and none moved before the least stay was over.
-TEST_CASE_FIXTURE(TakeoverFixture,
+// Guards against a new leader that takes each host for new in its pool, so that
+// none moves before the minimum stay has passed.
+TEST_CASE_FIXTURE(NewLeaderFixture,
                   "Moves, new leader and work for a pool, idle hosts move") {
   world.ChangeLeader(Millis(0));
   world.Submit("a", {Step(80)});
@@ -445,10 +454,10 @@
   CHECK(world.moved().size() == 2);
 }
 
-// Failed first: to a new leader hosts that were lost before it began seemed to
-// serve for fifteen seconds; the pool seemed to have enough, and a persistent
-// task had no place for as long.
-TEST_CASE_FIXTURE(TakeoverFixture,
+// Guards against a new leader that counts hosts lost before its term as serving
+// for 15 s: the pool seemed to have enough hosts, and a persistent task had no
+// place for as long.
+TEST_CASE_FIXTURE(NewLeaderFixture,
                   "Moves, hosts lost and then the leader, others take their "
                   "place") {
   for (int host = 5; host < 9; ++host) {
@@ -469,12 +478,12 @@
   CHECK(world.ledger().FindJob("a")->active_runs == 3);
 }
 
-// Failed first: the life that parking a host had ended stayed known, so that
-// its host seemed to serve where it had been.
-TEST_CASE_FIXTURE(TakeoverFixture,
+// Guards against keeping the incarnation that ended when its host was parked,
+// as the host would seem to serve its old pool still.
+TEST_CASE_FIXTURE(NewLeaderFixture,
                   "Moves, idle host is parked, its last life is over") {
   int parked = 0;
-  // Work now and then, and then none for longer than any pattern.
+  // Work at intervals, then none for longer than any pattern of arrivals.
   for (int turn = 0; turn < 4; ++turn) {
     world.Submit("job-" + std::to_string(turn), {Step(8)});
     const int length = turn < 3 ? 4 : 70;
@@ -493,8 +502,8 @@
   CHECK(parked > 0);
 }
 
-// Failed first: to a new leader all jobs seemed to have come only just now, so
-// that one long lost to its caller went before one that can be on time.
+// Guards against a new leader that takes all jobs for new, and so starts a job
+// that is too late for its caller before one that can be on time.
 TEST_CASE_FIXTURE(
     DispatcherFixture,
     "Takeover, one job is long late, the one in time goes first") {
@@ -512,8 +521,8 @@
   CHECK(world.ledger().FindJob("late")->active_runs == 0);
 }
 
-// What a leader with a host to move or to maintain is seen to do when it wakes
-// after an election.
+// Returns the violations of a leader that has hosts to move and to maintain and
+// wakes after another one was elected.
 std::vector<std::string> WakeAfterElection(bool is_lead_assumed) {
   DispatchMutations mutations;
   mutations.is_lead_assumed = is_lead_assumed;
@@ -537,8 +546,8 @@
   return world.violations();
 }
 
-// Failed first: the woken leader ordered hosts with its old fence, for what was
-// due by its timers came before what its control loop had yet to hear.
+// Guards against a woken leader that sends orders for hosts with its old fence:
+// its due timers run before its control loop learns of the election.
 TEST_CASE("Dispatcher, leader wakes after an election, orders no host") {
   for (const std::string& violation : WakeAfterElection(false)) {
     FAIL_CHECK(violation);
@@ -546,18 +555,19 @@
   CHECK_FALSE(WakeAfterElection(true).empty());
 }
 
-// Announcements of a thousand workers were a fifth of what came to a leader.
+// Announcements of 1,000 workers made up a fifth of a leader's incoming
+// requests before followers answered repeated ones.
 TEST_CASE_FIXTURE(DispatcherFixture,
-                  "Dispatcher, follower, answers for a worker that repeats "
-                  "itself, news go to the leader") {
+                  "Dispatcher, follower, answers repeated announcements and "
+                  "refers new ones to the leader") {
   scheduling::WorkerInfo info = world.ledger().FindWorker("w0")->info;
   const auto ask = [&] {
     return world.AskFollower(AnnounceWorker{info}).outcome;
   };
-  CHECK(ask() == Outcome::kUnavailable);  // The first is passed on.
+  CHECK(ask() == Outcome::kUnavailable);  // The first is for the leader.
   CHECK(ask() == Outcome::kOk);
   world.Advance(Millis(5'000));
-  CHECK(ask() == Outcome::kUnavailable);  // So that the leader hears of it.
+  CHECK(ask() == Outcome::kUnavailable);  // The leader is to receive it again.
   CHECK(ask() == Outcome::kOk);
   info.is_draining = true;
   CHECK(ask() == Outcome::kUnavailable);
@@ -567,11 +577,11 @@
   CHECK(world.AskFollower(GetConfiguration{}).outcome == Outcome::kUnavailable);
 }
 
-// Else a leader that workers reach no more by their host starts nothing on
-// them.
+// Guards against workers that a cut-off follower keeps answering: the leader
+// would receive none of their announcements and start nothing on them.
 TEST_CASE_FIXTURE(DispatcherFixture,
-                  "Dispatcher, follower that reaches no leader, sends workers "
-                  "that repeat themselves elsewhere") {
+                  "Dispatcher, follower that reaches no leader, refers "
+                  "repeated announcements to other hosts") {
   const scheduling::WorkerInfo info = world.ledger().FindWorker("w0")->info;
   const auto ask = [&] {
     return world.AskFollower(AnnounceWorker{info}).outcome;
@@ -582,7 +592,8 @@
   CHECK(ask() == Outcome::kUnavailable);
 }
 
-// One schedule of jobs, cancels, cuts and leader changes from a seed.
+// Runs a schedule of jobs, cancellations, network cuts and leader changes that
+// is derived from the seed. Returns what went wrong.
 std::vector<std::string> PlaySchedule(uint64_t seed,
                                       const DispatchMutations& mutations) {
   World world(seed, mutations);
@@ -620,13 +631,13 @@
   for (const std::string& id : jobs) {
     if (world.StateOf(id) < JobState::kSucceeded ||
         world.ledger().FindJob(id)->active_runs > 0) {
-      wrong.push_back(id + " is not over");
+      wrong.push_back(id + " has not ended");
     }
   }
   return wrong;
 }
 
-// LAURELHALL_SEEDS plays more than the fixed set, from LAURELHALL_FIRST_SEED.
+// LAURELHALL_SEEDS sets the number of seeds, LAURELHALL_FIRST_SEED the first.
 TEST_CASE(
     "Dispatcher, seeded schedules of failures, nothing runs twice or is lost") {
   for (const uint64_t seed : SeedsToPlay(40)) {
@@ -636,19 +647,19 @@
   }
 }
 
-// Each showed a fault once; played unchanged.
+// Regression test: each of these seeds has shown a fault.
 TEST_CASE(
     "Dispatcher, seeds that failed before, nothing runs twice or is lost") {
   const uint64_t seeds[] = {
-      49,    // A start sent again for a run that had lapsed.
-      144,   // The same, over a worker's room.
-      199,   // The same, with a change of leaders.
-      210,   // An end before a lapse, then another run: allowed.
+      49,    // A start was resent for a run that had lapsed.
+      144,   // As 49, beyond a worker's capacity.
+      199,   // As 49, with a change of leaders.
+      210,   // A run after one that ended before a lapse, which is allowed.
       246,   // As 210.
       313,   // As 210.
-      317,   // A start without an answer after its stop was taken.
+      317,   // A start without an answer after its stop was accepted.
       584,   // As 317, for a cancelled job.
-      4322,  // A plan of an earlier term, committed in a later one.
+      4322,  // A plan of an earlier term was committed in a later one.
       4632,  // A start while the lapse was being committed.
       6268,  // As 4632.
       6577,  // As 4322.
@@ -666,12 +677,12 @@
   bool DispatchMutations::*step;
 };
 
-TEST_CASE("Dispatcher, a step of its protocol left out, the schedules notice") {
+TEST_CASE("Dispatcher, protocol step left out, the schedules detect it") {
   const Mutant mutants[] = {
-      {"end seen early", &DispatchMutations::is_end_seen_early},
+      {"end acknowledged early", &DispatchMutations::is_end_seen_early},
       {"lease ignored", &DispatchMutations::is_lease_ignored},
-      {"barring skipped", &DispatchMutations::is_barring_skipped},
-      {"fence old", &DispatchMutations::is_fence_old},
+      {"unanswered start forgotten", &DispatchMutations::is_barring_skipped},
+      {"fence outdated", &DispatchMutations::is_fence_old},
   };
   for (const Mutant& mutant : mutants) {
     DispatchMutations mutations;
--- a/packages/dispatch/tests/incidents/hosts_held_test.cc
+++ b/packages/dispatch/tests/incidents/hosts_held_test.cc
@@ -1,14 +1,15 @@
-// Seen: accepted jobs had nothing at work beside idle workers, a persistent
-// task had no place for 14 s, and short jobs were served late, on fleets of 350
-// hosts.
-// How: a rush made the leader choose up to 80 hosts a second for a move, while
-// acts on hosts went out one after the other, each once the leader's thread had
-// come round twice: some ten a second when it was short of processor time.
-// Cause: a chosen host takes no work, and nothing bounded how many were chosen
-// and waited for their act: 40 % of the fleet for up to 14 s.
-// Proof: `dispatch workers` lines with up to 163 of 349 hosts "evacuated" in
-// each second in which jobs waited, and 8.4 s in the median from `pools move`
-// to `pools moved` on control hosts with 0.20 cores; 1.7 s with 0.35.
+// Guards against choosing more hosts for a move than actions can be sent for.
+// Symptoms, on fleets of 350 hosts: accepted jobs had no running task while
+// workers were idle, a persistent task had no place for 14 s, and short jobs
+// were served late.
+// Sequence: in a burst the leader chose up to 80 hosts per second for a move.
+// Actions on hosts were sent one after the other, each after two rounds of the
+// leader's thread: about ten per second when it lacked processor time.
+// Cause: a chosen host takes no work, and nothing bounded how many hosts were
+// chosen and waited for their action: 40 % of the fleet for up to 14 s.
+// Evidence: `dispatch workers` lines with up to 163 of 349 hosts "evacuated" in
+// each second in which jobs waited, and a median of 8.4 s from `pools move` to
+// `pools moved` on control hosts with 0.20 cores; 1.7 s with 0.35.
 
 #include <doctest/doctest.h>
 
@@ -19,11 +20,12 @@
 namespace laurelhall::dispatch {
 namespace {
 
-// 60 idle hosts of one service, and a rush of another one that asks for more
-// than all of them. Acts take 100 ms each, as on a busy leader: 10 a second.
-class RushBesideIdleHostsFixture {
+// 60 idle hosts of one service, and a burst of another service that needs more
+// than all of them. Actions take 100 ms each, 10 per second, as on a busy
+// leader.
+class BurstBesideIdleHostsFixture {
  protected:
-  RushBesideIdleHostsFixture() {
+  BurstBesideIdleHostsFixture() {
     scheduling::Configuration two;
     two.version = 2;
     two.document = "{}";
@@ -53,18 +55,18 @@
   World world{7};
 };
 
-// 10 hosts have moved by then, and 20 may be on their way: 30 hosts of four
-// cores are left.
-TEST_CASE_FIXTURE(RushBesideIdleHostsFixture,
-                  "Moves, acts wait for each other, hosts go on working") {
+// By then 10 hosts have moved and 20 may be chosen for a move, so 30 hosts of
+// four cores are left for the 100 tasks.
+TEST_CASE_FIXTURE(BurstBesideIdleHostsFixture,
+                  "Moves, actions wait for each other, hosts keep working") {
   REQUIRE(world.moved().size() >= 5);
   world.Submit("b", {Tasks(100)}, "enerji");
   world.Advance(Millis(300));
   CHECK(world.ledger().FindJob("b")->active_runs == 100);
 }
 
-TEST_CASE_FIXTURE(RushBesideIdleHostsFixture,
-                  "Moves, acts wait for each other, the rush is served") {
+TEST_CASE_FIXTURE(BurstBesideIdleHostsFixture,
+                  "Moves, actions wait for each other, the burst is served") {
   world.Advance(Millis(20'000));
   CHECK(world.StateOf("rush") == scheduling::JobState::kSucceeded);
   CHECK(world.moved().size() >= 20);
@@ -73,8 +75,9 @@
   }
 }
 
-TEST_CASE_FIXTURE(RushBesideIdleHostsFixture,
-                  "Moves, acts wait for each other, a persistent task starts") {
+TEST_CASE_FIXTURE(
+    BurstBesideIdleHostsFixture,
+    "Moves, actions wait for each other, a persistent task starts") {
   scheduling::StepSpec step = Tasks(20);
   step.is_persistent = true;
   step.spread_limit = 1;
--- a/packages/dispatch/tests/life_schedule_test.cc
+++ b/packages/dispatch/tests/life_schedule_test.cc
@@ -4,9 +4,9 @@
 
 #include "world.h"
 
-// Lives of workers that end and begin, under new ids and under the ones that
-// they had, with tasks that crash them, rooms that shrink and grow, late and
-// lost orders, lost relays, and leaders that change.
+// Seeded schedules of workers that end and restart with new or with the same
+// ids, tasks that crash workers, capacities that shrink and grow, late and lost
+// orders, lost relays, and leader changes.
 namespace laurelhall::dispatch {
 namespace {
 
@@ -36,10 +36,10 @@
   std::vector<std::string> Play() {
     for (int round = 0; round < 30; ++round) {
       Submit(round);
-      Disturb();
+      InjectFaults();
       m_world.Advance(Millis(Pick(50, 900)));
     }
-    Heal();
+    EndFaults();
     m_world.Advance(Millis(90'000));
     return Check();
   }
@@ -63,18 +63,18 @@
                         Step(static_cast<uint32_t>(Pick(1, 4)), {0})});
     m_jobs.push_back(id);
     if (Pick(0, 7) == 0) {
-      const std::string culprit = "culprit-" + std::to_string(round);
-      m_world.crashing[culprit + ".0.0.0"] = Millis(Pick(1, 400));
-      m_world.Submit(culprit, {Step(1)});
-      m_culprits.push_back(culprit);
+      const std::string crashing_job = "culprit-" + std::to_string(round);
+      m_world.crashing[crashing_job + ".0.0.0"] = Millis(Pick(1, 400));
+      m_world.Submit(crashing_job, {Step(1)});
+      m_crashing_jobs.push_back(crashing_job);
     }
     if (Pick(0, 11) == 0) {
       m_world.Cancel(m_jobs[static_cast<size_t>(Pick(0, round))]);
     }
   }
 
-  void Disturb() {
-    DisturbWorkers();
+  void InjectFaults() {
+    DisruptWorkers();
     if (Pick(0, 8) == 0) {
       m_world.ChangeLeader(Millis(Pick(0, 1'100)));
     }
@@ -87,7 +87,7 @@
     }
   }
 
-  void DisturbWorkers() {
+  void DisruptWorkers() {
     const std::string worker = AnyWorker();
     if (worker.empty()) {
       return;
@@ -112,7 +112,7 @@
         break;
       case 5:
       case 6:
-        HealOne();
+        ReconnectOne();
         break;
       case 7:
         CrashRack(Pick(0, kWorkers / 2 - 1));
@@ -127,7 +127,7 @@
     m_cut.push_back(worker);
   }
 
-  void HealOne() {
+  void ReconnectOne() {
     if (!m_cut.empty()) {
       m_world.Cut(m_cut.front(), false);
       m_cut.pop_front();
@@ -143,9 +143,9 @@
     }
   }
 
-  void Heal() {
+  void EndFaults() {
     while (!m_cut.empty()) {
-      HealOne();
+      ReconnectOne();
     }
     m_world.weather = {};
     m_world.Advance(Millis(10'000));
@@ -168,7 +168,7 @@
         wrong.push_back(id + " is " + JobStateName(state));
       }
     }
-    for (const std::string& id : m_culprits) {
+    for (const std::string& id : m_crashing_jobs) {
       if (m_world.StateOf(id) != JobState::kFailed) {
         wrong.push_back(id + " is not given up");
       }
@@ -179,13 +179,12 @@
   const bool m_has_relays;
   World m_world;
   std::vector<std::string> m_jobs;
-  std::vector<std::string> m_culprits;
+  std::vector<std::string> m_crashing_jobs;
   std::deque<std::string> m_cut;
 };
 
-// LAURELHALL_SEEDS plays more than the fixed set, from LAURELHALL_FIRST_SEED.
-TEST_CASE(
-    "Dispatcher, seeded lives of workers, nothing runs twice or is lost") {
+// LAURELHALL_SEEDS sets the number of seeds, LAURELHALL_FIRST_SEED the first.
+TEST_CASE("Dispatcher, seeded worker restarts, nothing runs twice or is lost") {
   for (const uint64_t seed : SeedsToPlay(40)) {
     for (const std::string& wrong : LifeSchedule(seed, {}).Play()) {
       FAIL_CHECK("seed ", seed, ": ", wrong);
@@ -193,18 +192,19 @@
   }
 }
 
-// Each showed a fault once; played unchanged.
+// Regression test: each of these seeds has shown a fault.
 TEST_CASE(
-    "Dispatcher, lives that failed before, nothing runs twice or is lost") {
+    "Dispatcher, worker restarts that failed before, nothing runs twice or is "
+    "lost") {
   const uint64_t seeds[] = {
-      14,   // A culprit started again before its crashes were known.
+      14,   // A crashing task was started again before its crashes were known.
       29,   // As 14, with a change of leaders.
       36,   // As 14.
       40,   // As 14.
-      97,   // A job given up for a start that was never answered.
-      506,  // An answer of the new life took the runs before from the
-            // judgement.
-      521,  // A crash that one leader saw and the next did not judge.
+      97,   // A job was given up for a start that was never answered.
+      506,  // After an answer of the new incarnation, the runs before it were
+            // not considered as causes of the crash.
+      521,  // A crash that one leader saw was not attributed by the next one.
       798,  // As 97.
       840,  // As 97.
   };
@@ -215,7 +215,9 @@
   }
 }
 
-TEST_CASE("Dispatcher, births of workers are ignored, the schedules notice") {
+TEST_CASE(
+    "Dispatcher, incarnations of workers are ignored, the schedules detect "
+    "it") {
   DispatchMutations mutations;
   mutations.is_birth_ignored = true;
   bool is_noticed = false;
--- a/packages/dispatch/tests/load_schedule.h
+++ b/packages/dispatch/tests/load_schedule.h
@@ -5,16 +5,16 @@
 
 #include "world.h"
 
-// Control hosts that are short of time while nothing else is disturbed: slow
-// commits and threads, orders that are long on their way, leaders that change
-// before they have come round.
+// Seeded schedules in which only the control hosts are disturbed: slow commits,
+// slow threads, slow calls, and leaders that change before they have finished a
+// round.
 namespace laurelhall::dispatch {
 
 using scheduling::JobState;
 using scheduling::StepSpec;
 
 inline constexpr int kWorkers = 12;
-inline constexpr Millis kLoad{24'000};
+inline constexpr Millis kLoadDuration{24'000};
 inline constexpr RelayBounds kFewRelays{2, 4};
 
 class LoadSchedule {
@@ -48,18 +48,18 @@
       }
       m_world.OpenWave(hosts);
     }
-    Millis until_next{Pick(500, 3'000)};
-    for (Millis gone{0}; gone < kLoad;) {
+    Millis until_election{Pick(500, 3'000)};
+    for (Millis elapsed_time{0}; elapsed_time < kLoadDuration;) {
       const Millis step(Pick(50, 600));
       Submit();
-      Load();
-      if (until_next <= Millis(0)) {
+      InjectLoad();
+      if (until_election <= Millis(0)) {
         m_world.Elect(Millis(Pick(0, 600)));
-        until_next = Millis(Pick(1'800, 2'800));
+        until_election = Millis(Pick(1'800, 2'800));
       }
       m_world.Advance(step);
-      gone += step;
-      until_next -= step;
+      elapsed_time += step;
+      until_election -= step;
     }
     m_world.SlowCommits(Millis(5));
     m_world.SlowThreads(Millis(0));
@@ -80,7 +80,7 @@
     m_jobs.push_back(id);
   }
 
-  void Load() {
+  void InjectLoad() {
     m_world.SlowCommits(Millis(Pick(300, 1'500)));
     m_world.SlowWords(Millis(Pick(100, 900)));
     m_world.SlowThreads(Millis(Pick(0, 3) * 100));
--- a/packages/dispatch/tests/load_schedule_test.cc
+++ b/packages/dispatch/tests/load_schedule_test.cc
@@ -8,20 +8,21 @@
 namespace laurelhall::dispatch {
 namespace {
 
-// Leases of sound workers run out there; played by a test of their own.
-constexpr uint64_t kOpenSeeds[] = {22, 28};
+// Seeds with which leases of healthy workers run out; a separate test runs
+// them.
+constexpr uint64_t kFailingSeeds[] = {22, 28};
 
-bool IsOpen(uint64_t seed) {
-  return std::find(std::begin(kOpenSeeds), std::end(kOpenSeeds), seed) !=
-         std::end(kOpenSeeds);
+bool IsFailingSeed(uint64_t seed) {
+  return std::find(std::begin(kFailingSeeds), std::end(kFailingSeeds), seed) !=
+         std::end(kFailingSeeds);
 }
 
-// LAURELHALL_SEEDS plays more than the fixed set, from LAURELHALL_FIRST_SEED.
+// LAURELHALL_SEEDS sets the number of seeds, LAURELHALL_FIRST_SEED the first.
 TEST_CASE(
     "Dispatcher, seeded loads on control hosts, nothing runs twice, ends early "
     "or is lost") {
   for (const uint64_t seed : SeedsToPlay(40)) {
-    if (IsOpen(seed)) {
+    if (IsFailingSeed(seed)) {
       continue;
     }
     for (const std::string& wrong : LoadSchedule(seed, {}).Play()) {
@@ -31,7 +32,8 @@
 }
 
 TEST_CASE(
-    "Dispatcher, leases of silent workers are ignored, the loads notice") {
+    "Dispatcher, leases of silent workers are ignored, the schedules detect "
+    "it") {
   DispatchMutations mutations;
   mutations.is_lease_ignored = true;
   bool is_noticed = false;
--- a/packages/dispatch/tests/organisation_schedule_test.cc
+++ b/packages/dispatch/tests/organisation_schedule_test.cc
@@ -4,8 +4,8 @@
 
 #include "world.h"
 
-// Jobs of several organisations, one of them small, under caps that are lowered
-// and raised, with workers that are lost, late orders, and leaders that change.
+// Seeded schedules of jobs of three organisations, under caps that are lowered
+// and raised, with lost workers, late orders and leader changes.
 namespace laurelhall::dispatch {
 namespace {
 
@@ -16,7 +16,7 @@
 constexpr RelayBounds kFewRelays{2, 3};
 constexpr const char* kOrganisations[] = {"a", "b", "small"};
 
-constexpr uint64_t kUsualSeeds = 200;
+constexpr uint64_t kDefaultSeedCount = 200;
 
 class OrganisationSchedule {
  public:
@@ -37,10 +37,10 @@
   std::vector<std::string> Play() {
     for (int round = 0; round < 24; ++round) {
       Submit(round);
-      Disturb();
+      InjectFaults();
       m_world.Advance(Millis(Pick(30, 700)));
     }
-    Heal();
+    EndFaults();
     m_world.Advance(Millis(10'000));
     Reconfigure(0);
     m_world.Advance(Millis(40'000));
@@ -56,7 +56,8 @@
     return "host-" + std::to_string(worker);
   }
 
-  // No limits for zero.
+  // Sets random weights, and random caps of 2 to `largest_cap` cores; none if
+  // that is zero.
   void Reconfigure(int largest_cap) {
     scheduling::IdentitySpec identities;
     for (const char* name : kOrganisations) {
@@ -71,11 +72,11 @@
     m_world.Identify(identities);
   }
 
-  // Steps wider than any cap among them.
+  // Some steps have more tasks than any cap allows to run at once.
   void Submit(int round) {
     const std::string organisation = kOrganisations[Pick(0, 5) % 3];
     const std::string id = organisation + "-" + std::to_string(round);
-    // Some outlast a look at their worker.
+    // Some run for longer than a poll of their worker takes.
     const Millis estimate(Pick(0, 2) == 0 ? 5'000 : Pick(300, 1'500));
     m_world.SubmitFor(organisation, id,
                       {Step(static_cast<uint32_t>(Pick(1, 16)), {}, estimate),
@@ -83,7 +84,7 @@
     m_jobs.push_back(id);
   }
 
-  void Disturb() {
+  void InjectFaults() {
     const std::string worker = m_world.LifeOn(HostOf(Pick(0, kWorkers - 1)));
     switch (worker.empty() ? 9 : Pick(0, 10)) {
       case 0:
@@ -95,7 +96,7 @@
         m_cut.push_back(worker);
         break;
       case 2:
-        HealOne();
+        ReconnectOne();
         break;
       case 3:
       case 4:
@@ -114,16 +115,16 @@
     }
   }
 
-  void HealOne() {
+  void ReconnectOne() {
     if (!m_cut.empty()) {
       m_world.Cut(m_cut.front(), false);
       m_cut.pop_front();
     }
   }
 
-  void Heal() {
+  void EndFaults() {
     while (!m_cut.empty()) {
-      HealOne();
+      ReconnectOne();
     }
     m_world.weather = {};
   }
@@ -148,8 +149,8 @@
   std::deque<std::string> m_cut;
 };
 
-bool IsNoticed(const DispatchMutations& mutations) {
-  for (uint64_t seed = 1; seed <= kUsualSeeds; ++seed) {
+bool IsDetected(const DispatchMutations& mutations) {
+  for (uint64_t seed = 1; seed <= kDefaultSeedCount; ++seed) {
     for (const std::string& wrong :
          OrganisationSchedule(seed, mutations).Play()) {
       if (wrong.find("over the cap") != std::string::npos) {
@@ -160,27 +161,29 @@
   return false;
 }
 
-// LAURELHALL_SEEDS plays more than the fixed set, from LAURELHALL_FIRST_SEED.
+// LAURELHALL_SEEDS sets the number of seeds, LAURELHALL_FIRST_SEED the first.
 TEST_CASE(
-    "Dispatcher, seeded caps and losses, no cap is passed, nobody starves") {
-  for (const uint64_t seed : SeedsToPlay(kUsualSeeds)) {
+    "Dispatcher, seeded caps and losses, no cap is exceeded, no job starves") {
+  for (const uint64_t seed : SeedsToPlay(kDefaultSeedCount)) {
     for (const std::string& wrong : OrganisationSchedule(seed, {}).Play()) {
       FAIL_CHECK("seed ", seed, ": ", wrong);
     }
   }
 }
 
-TEST_CASE("Dispatcher, caps hold for plans alone, the schedules notice") {
+TEST_CASE(
+    "Dispatcher, caps are checked for plans only, the schedules detect it") {
   DispatchMutations mutations;
   mutations.is_cap_planned_only = true;
-  CHECK(IsNoticed(mutations));
+  CHECK(IsDetected(mutations));
 }
 
 TEST_CASE(
-    "Dispatcher, lost workers' runs are not counted, the schedules notice") {
+    "Dispatcher, runs of lost workers are not counted, the schedules detect "
+    "it") {
   DispatchMutations mutations;
   mutations.is_lease_ignored = true;
-  CHECK(IsNoticed(mutations));
+  CHECK(IsDetected(mutations));
 }
 
 }  // namespace
--- a/packages/dispatch/tests/world.cc
+++ b/packages/dispatch/tests/world.cc
@@ -18,30 +18,31 @@
 constexpr Millis kLongestLease{6'000};
 constexpr Millis kStep{5};
 constexpr Millis kElection{1'000};
-// Between two announcements of a worker.
+// The interval between two announcements of a worker.
 constexpr Millis kBeat{1'000};
-// No other host is elected before: voters keep to a leader for so long.
+// No other host is elected before this time, as voters keep to a leader for it.
 constexpr Millis kShortestElection{600};
-// A leader that hears no quorum ends its commits as unknown after this.
+// A leader that reaches no quorum ends its commits as unknown after this.
 constexpr Millis kCommitGivenUp{1'200};
-// Calls that take longer on their way may run out of time.
+// Calls whose network delay may exceed this can time out.
 constexpr Millis kUsualDelay{4};
-// A task that crashes the workers that start it must not be started so often
-// after so many workers went down under it.
+// A task must not be started kMostStartsAfter times more after it has crashed
+// kMostCrashes workers.
 constexpr uint64_t kMostCrashes = 3;
 constexpr uint64_t kMostStartsAfter = 3;
-// A room that has shrunk counts so long later: contact and one announcement.
 uint64_t NumberOf(const char* variable, uint64_t usual) {
   const char* wanted = std::getenv(variable);
   return wanted == nullptr ? usual : std::strtoull(wanted, nullptr, 10);
 }
 
-// A configuration that is replaced may be in force for so long.
+// How long a replaced configuration may still be in force.
 constexpr Millis kCapGrace{2'500};
+// How long a leader may use a capacity that has shrunk: until contact and one
+// announcement.
 constexpr Millis kRoomGrace{4'500};
-// By how much an order may be carried out late.
+// The greatest delay of an order that is carried out late.
 constexpr Millis kLatest{12'000};
-// A persistent task counts as away when it was not at work for so long.
+// A persistent task counts as away when it was not running for this long.
 constexpr Millis kNotice{4'500};
 
 }  // namespace
@@ -142,7 +143,7 @@
   reply.outcome = CallOutcome::kDone;
   reply.born = m_born;
   for (const EndedRun& ended : m_ended) {
-    // Noted only if the lease has not lapsed since: else it may run again.
+    // Not if the lease has lapsed since: the task may then run again.
     if (ended.number <= order.ends_seen && ended.number > m_lapsed_ends &&
         ended.end == RunEnd::kDone && on_done) {
       on_done(ended.task);
@@ -217,20 +218,20 @@
   }
 }
 
-// What the log and the calls of one control host know of it.
+// The state of a simulated host that its log, timers and calls use.
 struct World::HostView {
   explicit HostView(World& of) : world(of) {}
 
   World& world;
   uint64_t term = 0;
-  bool is_behind = false;  // Hears nothing of what is committed.
+  bool is_behind = false;  // Receives no committed records.
   bool has_quorum = true;
   bool is_frozen = false;
-  std::vector<std::function<void()>> backlog;  // Due while it was frozen.
+  std::vector<std::function<void()>> backlog;  // Queued while it is frozen.
   std::vector<std::function<void()>> next_round;
 
-  // Runs what comes to its one thread, when it wakes if it is frozen, or comes
-  // round if it is slow.
+  // Runs a task on the host's one thread: at once, when the host wakes if it is
+  // frozen, or with the next round if its thread is slow.
   void Run(std::function<void()> task) {
     if (is_frozen) {
       backlog.push_back(std::move(task));
@@ -250,8 +251,8 @@
     }
   }
 
-  // An answer that a slow thread reads when the call's time is over counts for
-  // nothing. A freeze is not counted by the clock of the call.
+  // Discards an answer that the thread reads after the call's timeout. Only if
+  // threads or calls are slow, so that a freeze alone doesn't time a call out.
   template <typename Result>
   std::function<void(Result)> InTime(Millis timeout,
                                      std::function<void(Result)> done) {
@@ -273,8 +274,8 @@
   Ledger applied;
 };
 
-// The timers of a host: none runs while it is frozen, all that came due do when
-// it wakes.
+// The timers of a host. While it is frozen none runs; all that came due run
+// when it wakes.
 class World::Timers final : public TimerService {
  public:
   Timers(World& world, HostView& host) : m_world(world), m_host(host) {}
@@ -306,7 +307,7 @@
 
 struct World::OpenCommit {
   std::vector<scheduling::Record> records;
-  bool is_over = false;  // Another leader has begun meanwhile.
+  bool is_over = false;  // Another leader has taken over.
 };
 
 class World::Log final : public scheduling::ReplicatedLog {
@@ -352,7 +353,7 @@
 
   void Read(const std::function<void(const Ledger&)>& reader) const override {
     if (std::exchange(m_is_reading, true)) {
-      m_world.Violate("the ledger is read within a read: its lock is held");
+      m_world.Violate("the ledger is read within a read, which holds its lock");
     }
     reader(m_host.applied);
     m_is_reading = false;
@@ -368,7 +369,8 @@
 
 class World::Port final : public WorkerPort {
  public:
-  /// @param is_relay Calls in the name of whom an order's fence names.
+  /// @param is_relay Whether it relays orders: their term is then that of the
+  ///   fence, not the host's own.
   Port(World& world, HostView& host, bool is_relay = false)
       : m_world(world), m_host(host), m_is_relay(is_relay) {}
 
@@ -450,7 +452,7 @@
 
   bool IsCut(const std::string& id) const { return m_world.m_cut.contains(id); }
 
-  // Waits for an end as a worker does.
+  // Answers when the worker has an end to report or the wait is over.
   void Look(const HoldOrder& order,
             SteadyTime until,
             const std::function<void(HoldReply)>& done) {
@@ -489,8 +491,9 @@
       give_up();
     } else if (m_world.Chance(weather.late)) {
       std::uniform_int_distribution<int64_t> late(2'000, kLatest.count());
-      // One that was meant for an earlier life must be refused by a later one,
-      // as soon as that has heard of its leader; before, nothing can refuse it.
+      // A later incarnation must refuse an order meant for an earlier one once
+      // it has received an order of a leader. Before that it can't refuse it,
+      // so the order is dropped here.
       m_world.After(Millis(late(m_world.m_random)),
                     [this, act, &worker, born = worker.born()] {
                       const bool is_refusable =
@@ -517,7 +520,8 @@
     }
   }
 
-  // An order of an older leader must do nothing where a newer one's came.
+  // Checks that no order of an older leader is carried out after one of a newer
+  // leader.
   void CheckTerm(const FakeWorker& worker, uint64_t term) {
     uint64_t& newest = m_world.m_newest_term[worker.id()];
     if (term < newest) {
@@ -533,7 +537,8 @@
   const bool m_is_relay;
 };
 
-// Maintained hosts lose their worker and come back with another one.
+// Actions on hosts. Maintained hosts lose their worker and come back with
+// another one, or with the same id if has_same_ids is set.
 class World::Hosts final : public HostPort {
  public:
   Hosts(World& world, HostView& host) : m_world(world), m_host(host) {}
@@ -571,7 +576,7 @@
       EndWorkers(act.host);
       done(HostActOutcome::kDone);
       if (IsSpare(act.pool)) {
-        return;  // Off: nothing comes back.
+        return;  // The host is off, so no worker comes back.
       }
       m_world.After(Millis(1'500),
                     [this, act] { m_world.Revive(act.host, act.pool); });
@@ -581,7 +586,7 @@
   void List(const std::string&, std::function<void(HostPage)>) override {}
 
  private:
-  // Asked right before an act is sent, as a connection does.
+  // Asks may_send() right before an action is sent, as a connection does.
   bool IsHeldBack(const HostAct& act,
                   const std::function<void(HostActOutcome)>& done) {
     if (!act.may_send || act.may_send()) {
@@ -591,7 +596,7 @@
     return true;
   }
 
-  // The platform need not check fences: an old one must not be sent.
+  // The platform need not check fences, so an old one must not be sent.
   void CheckFence(const HostAct& act) {
     uint64_t& newest = m_world.m_newest_fence[act.host];
     if (act.fence < newest) {
@@ -623,7 +628,7 @@
         m_world.m_cut_off += m_world.m_workers.at(id)->runs().size();
         for (const auto& [task, run] : m_world.m_workers.at(id)->runs()) {
           if (run.is_persistent && run.PercentAt(m_world.Now()) == 100) {
-            m_world.CheckEnding(task, "with its host");
+            m_world.CheckEnding(task, "by taking its host down");
           }
         }
         m_world.Cut(id, true);
@@ -681,7 +686,7 @@
   std::unique_ptr<Dispatcher> dispatcher;
 };
 
-// An entry host as far as it relays orders.
+// An entry host, reduced to relaying orders.
 struct World::RelayNode : World::HostView {
   RelayNode(World& world, const std::string& name, const std::string& zone)
       : HostView(world), timers(world, *this), port(world, *this, true) {
@@ -710,7 +715,7 @@
   std::unique_ptr<OrderRelay> relay;
 };
 
-// As World::AskForRelay(), of another control host.
+// As AskForRelay(), for a request of a control host to the leader.
 void World::AskForHost(HostView& host,
                        const std::string& request,
                        SteadyTime deadline,
@@ -737,7 +742,8 @@
   });
 }
 
-// One try at the control host that leads; silence where a cut is between.
+// Sends one request to the leader, without a retry. There is no answer while
+// the relay is cut off.
 void World::AskForRelay(RelayNode& relay,
                         const std::string& request,
                         SteadyTime deadline,
@@ -772,7 +778,7 @@
   }
 }
 
-// What comes to it is never run.
+// A dead relay stays frozen, so its backlog is never run.
 void World::KillRelay(size_t relay) {
   m_relays[relay]->is_frozen = true;
   m_relays[relay]->is_dead = true;
@@ -872,27 +878,27 @@
   m_workers[id] = std::move(worker);
   m_words_of[id] = 1;
   BeginToBeat({info, 1, WallTime(Millis(1))});
-  // It is known since it has told the leader.
+  // Also announces it, as a worker known from the ledger has announced itself.
   After(Millis(0), [this, info] {
     m_hosts[m_leader]->dispatcher->Ask(
         AnnounceWorker{info, 1, WallTime(Millis(1)),
                        m_workers.at(info.id)->Clock(Now())},
         [](const Reply&) {});
   });
-  // Spread over the time between two.
+  // The workers' announcements are spread over the interval.
   After(kBeat * static_cast<int>(m_workers.size() % 8) / 8,
         [this, id] { Beat(id); });
 }
 
-// A word that was overtaken by a newer one is not repeated.
+// An announcement that is older than the worker's newest one is not repeated.
 void World::BeginToBeat(const AnnounceWorker& word) {
   if (m_words_of[word.info.id] == word.sequence) {
     m_told[word.info.id] = word;
   }
 }
 
-// To one control host after the other; one that does not lead sends a worker on
-// to the leader with what it can't answer.
+// Sends the worker's announcement to the control hosts in turn. If one can't
+// answer it, it is sent to the leader.
 void World::Beat(const std::string& id) {
   After(kBeat, [this, id] { Beat(id); });
   const auto told = m_told.find(id);
@@ -934,7 +940,8 @@
   });
 }
 
-// A host that crashed and was then taken down comes back once.
+// Adds a worker to a host unless it has one: a host that crashed and was then
+// taken down comes back once only.
 void World::Revive(const std::string& host,
                    const std::string& service,
                    const std::string& rack) {
@@ -957,7 +964,7 @@
   info.is_draining = false;
   After(down_for, [this, &crashed, info, told_in]() mutable {
     if (!LifeOn(info.host).empty()) {
-      return;  // A host has one life at a time.
+      return;  // A host has one live worker at a time.
     }
     crashed.BeginAgain(Now());
     info.capacity = crashed.capacity();
@@ -1013,8 +1020,7 @@
   if (CrashesOf(task) >= kMostCrashes &&
       ++m_starts_after_crashes[task] == kMostStartsAfter) {
     Violate(task +
-            " is started three times more after three workers went "
-            "down under it");
+            " is started three times more after it crashed three workers");
   }
 }
 
@@ -1026,7 +1032,7 @@
   After(found->second, [this, task, worker] {
     const auto id = scheduling::ParseTaskId(task);
     if (!m_workers.at(worker)->runs().contains(*id)) {
-      return;  // It was stopped in time.
+      return;  // It was stopped before the crash.
     }
     ++m_crashes_of[task];
     if (reborn > 0 && Chance(reborn)) {
@@ -1254,7 +1260,8 @@
 }
 
 // A persistent task may be ended only while fewer others of its step are away
-// than may be: by such an order, or for long for any cause.
+// than may_miss. A task is away if an order ended it, or if it has not been
+// running for kNotice for any reason.
 void World::CheckStop(const FakeWorker& worker, const StopOrder& order) {
   const auto running = worker.runs().find(order.task);
   const bool ends_it =
@@ -1314,7 +1321,7 @@
   CountStart(task);
   CrashLater(task, worker.id());
   if (m_noted_done.contains(order.task)) {
-    Violate(task + " is started after its end was noted");
+    Violate(task + " is started after its end was acknowledged");
   }
   for (const auto& [id, other] : m_workers) {
     if (id != worker.id() && other->runs().contains(order.task)) {
@@ -1323,7 +1330,7 @@
   }
   const Millis grace = m_is_late ? kRoomGrace + kLatest : kRoomGrace;
   if (!scheduling::Fits(worker.Used(), worker.RoomAsKnown(Now(), grace))) {
-    Violate(task + " is over the room of " + worker.id());
+    Violate(task + " exceeds the capacity of " + worker.id());
   }
   CheckCap(order);
   const scheduling::Job& job = *m_ledger.FindJob(order.task.job);
@@ -1334,7 +1341,8 @@
   }
 }
 
-// The highest of those that may be in force somewhere; nothing: no limit.
+// The highest cap of those that may be in force on some host; empty if there is
+// no limit.
 scheduling::Resources World::CapInForce(const std::string& organisation) const {
   const Millis grace = m_is_late ? kCapGrace + kLatest : kCapGrace;
   scheduling::Resources highest;
@@ -1355,7 +1363,8 @@
   return highest;
 }
 
-// From what runs on the workers, whoever knows of it.
+// Compares the cap with what runs on the workers, whether or not a leader knows
+// of it.
 void World::CheckCap(const StartOrder& order) {
   const std::string& organisation =
       m_ledger.FindJob(order.task.job)->organisation;
--- a/packages/dispatch/tests/world.h
+++ b/packages/dispatch/tests/world.h
@@ -14,25 +14,26 @@
 
 namespace laurelhall::dispatch {
 
-/// A step of like tasks of one processor each.
+/// Makes a step of `count` equal tasks that need one processor each.
 scheduling::StepSpec Step(uint32_t count,
                           std::vector<uint32_t> after = {},
                           Millis estimate = Millis(500));
 
-/// The seeds that a test of schedules plays: as many as are usual, from 1 on,
-/// or LAURELHALL_SEEDS of them from LAURELHALL_FIRST_SEED.
+/// The seeds that a schedule test runs: 1 to `usual`, or LAURELHALL_SEEDS seeds
+/// from LAURELHALL_FIRST_SEED on if these variables are set.
 std::vector<uint64_t> SeedsToPlay(uint64_t usual);
 
-/// How the network treats orders; shares of them.
+/// Faults of calls to workers, each as the probability per order.
 struct Weather {
-  double lost = 0;     ///< Never arrive.
-  double unheard = 0;  ///< Carried out, the answer is lost.
-  double late = 0;     ///< Not answered, carried out seconds later.
-  double refused = 0;  ///< Starts that an unhealthy worker turns down.
+  double lost = 0;     ///< The order never arrives.
+  double unheard = 0;  ///< The order is carried out, but its answer is lost.
+  double late = 0;     ///< Not answered, but carried out seconds later.
+  double refused = 0;  ///< A start is refused by an unhealthy worker.
 };
 
-/// A worker as the pages describe it: leases on its own clock, fences, runs
-/// that rise, ends that are told until they are seen.
+/// A simulated worker that implements the worker protocol: leases on its own
+/// clock, fences, rising run numbers, and ends that are reported until they are
+/// acknowledged.
 class FakeWorker {
  public:
   FakeWorker(std::string id, scheduling::Resources capacity, Millis clock)
@@ -44,7 +45,7 @@
     SteadyTime ends_at{};
     bool fails = false;
     bool is_persistent = false;
-    SteadyTime begun_at{};  ///< If it tells how far it is.
+    SteadyTime begun_at{};  ///< Zero if the run reports no progress.
 
     uint32_t PercentAt(SteadyTime now) const;
   };
@@ -60,22 +61,23 @@
     return !m_ended.empty() && m_ended.back().number > seen;
   }
 
-  /// Told of each run that ended done, and whether that was noted.
+  /// Called for each run that succeeded, when the leader acknowledges its end.
   std::function<void(const scheduling::TaskId&)> on_done;
-  /// Told of each run that ends now because its lease has run out.
+  /// Called for each run that ends because the worker's lease has run out.
   std::function<void(const scheduling::TaskId&, const Run&)> on_lapsed;
   scheduling::Resources Used() const;
   const scheduling::Resources& capacity() const { return m_capacity; }
 
-  /// Its room from now on. What it had before counts for a while, as the
-  /// change takes time to be known.
+  /// Changes the worker's capacity.
   void Resize(const scheduling::Resources& capacity, SteadyTime now);
+  /// The capacity that a leader may still assume: for `grace` after a change,
+  /// the greater of the old and the new one.
   scheduling::Resources RoomAsKnown(SteadyTime now, Millis grace) const;
 
-  /// Its process is gone, with all that ran there.
+  /// Ends the process and all its runs.
   void Die();
 
-  /// Starts again under its id: knows nothing, and counts anew.
+  /// Restarts the process with the same id and without any earlier state.
   void BeginAgain(SteadyTime now);
   WallTime born() const { return m_born; }
   scheduling::WorkerTime Clock(SteadyTime now) const;
@@ -93,17 +95,21 @@
   uint64_t m_fence = 0;
   uint64_t m_next_end = 1;
   std::map<scheduling::TaskId, Run> m_runs;
-  std::map<scheduling::TaskId, uint32_t> m_barred;  // Highest stopped or ended.
+  // By task, the highest run that was stopped or has ended; runs up to it are
+  // not started.
+  std::map<scheduling::TaskId, uint32_t> m_barred;
   std::vector<EndedRun> m_ended;
-  uint64_t m_lapsed_ends = 0;  // Ends up to here are older than a lapse.
+  uint64_t m_lapsed_ends = 0;  // Ends up to this number are before a lapse.
   bool m_is_dead = false;
   WallTime m_born{Millis(1)};
   scheduling::Resources m_capacity_before;
   SteadyTime m_resized_at{};
 };
 
-/// Two control hosts over one committed ledger, workers, and a network that
-/// loses, delays and repeats, on a virtual clock from one seed.
+/// A simulated cluster on a virtual clock: two control hosts with one committed
+/// ledger, workers, and a network that loses, delays and repeats calls. All
+/// random choices come from one seed. Checks the scheduler's guarantees while
+/// it runs; see violations().
 class World {
  public:
   explicit World(uint64_t seed,
@@ -116,34 +122,36 @@
                  const std::string& service = "teklif",
                  const std::string& rack = "");
 
-  /// A worker's process is gone, with all that runs there. Its host has a new
-  /// life after a time; none for zero.
+  /// Ends a worker's process and all its runs. Its host gets a new worker after
+  /// `back_in`, or none if that is zero.
   void Crash(const std::string& worker, Millis back_in);
 
-  /// A worker's process is gone, with all that runs there, and starts again
-  /// under the same id after a time. It announces itself a little later.
+  /// Ends a worker's process and all its runs, and restarts it with the same id
+  /// after `down_for`. It announces itself `told_in` later.
   void CrashAndBeginAgain(const std::string& worker,
                           Millis down_for,
                           Millis told_in = Millis(100));
 
-  /// A worker has another room from now on, and says so after a time.
+  /// Changes a worker's capacity; it announces that after `told_in`.
   void Resize(const std::string& worker,
               const scheduling::Resources& capacity,
               Millis told_in = Millis(100));
 
-  /// Whether a worker's calls reach the control hosts; its beats are lost
-  /// otherwise, while the control hosts reach it all the same.
+  /// Drops a worker's announcements, or no longer does. The control hosts reach
+  /// a mute worker all the same.
   void Mute(const std::string& worker, bool is_mute);
 
-  /// A worker says what it said before, with the number of that word.
+  /// Sends an announcement of a worker to the leader. While it is the worker's
+  /// newest and not accepted, it is sent again.
   void Announce(const scheduling::WorkerInfo& info,
                 uint64_t sequence,
                 WallTime born = WallTime(Millis(1)));
 
-  /// All control hosts lose power; another one leads from what was synced.
+  /// Restarts all control hosts; the other one leads, with the ledger as it was
+  /// saved.
   void RestartControlHosts();
 
-  /// The newest life on a host.
+  /// The id of the newest live worker on a host; empty if there is none.
   std::string LifeOn(const std::string& host) const;
   void Submit(const std::string& id,
               std::vector<scheduling::StepSpec> steps,
@@ -153,72 +161,76 @@
                  std::vector<scheduling::StepSpec> steps);
   void Cancel(const std::string& id);
 
-  /// Whose jobs the queues take from now on, by the next configuration.
+  /// Sets the organisations whose jobs the queues accept, by a new
+  /// configuration.
   void Identify(const scheduling::IdentitySpec& identities);
   void Configure(const scheduling::Configuration& configuration);
 
-  /// Asks the leader and waits for the answer.
+  /// Sends a request to the leader, advances the clock by 50 ms and returns the
+  /// reply.
   Reply Ask(Request request);
 
-  /// As Ask(), of the control host that does not lead.
+  /// As Ask(), for the control host that does not lead.
   Reply AskFollower(Request request);
 
-  /// The other control host leads from now on; the old one does not know it
-  /// for a while.
+  /// Makes the other control host the leader. The old one learns that after
+  /// `unaware`.
   void ChangeLeader(Millis unaware);
 
-  /// The leader hears no quorum from now on. Another control host leads after
-  /// the shortest election, and the old one does not know it for a while. What
-  /// was being committed may be in the log of the next one, or not.
+  /// Cuts the leader off from its quorum. The other control host becomes leader
+  /// after the shortest election timeout, and the old one learns that `unaware`
+  /// later. Commits in flight may or may not be in the new leader's log.
   void Elect(Millis unaware);
 
-  /// The leader does nothing for a time, longer than an election takes, and
-  /// wakes believing that it still leads, until it hears of the next one.
+  /// Freezes the leader for `time`, which must be longer than an election
+  /// takes. It wakes assuming that it still leads, and learns of the new leader
+  /// `unaware` after that.
   void FreezeLeader(Millis time, Millis unaware);
 
-  /// The leader does nothing for a time, and no other is elected meanwhile.
+  /// Freezes the leader for `time`, during which no other one is elected.
   void PauseLeader(Millis time);
 
-  /// Hosts that ask the leader for orders, and are chosen as it needs them.
+  /// Adds hosts that offer to relay orders; the leader chooses those it needs.
   void AddRelays(int count, const std::string& zone = "");
 
-  /// A relay's process runs no more. What it sent is under way all the same.
+  /// Ends a relay's process. The orders that it has sent are still in flight.
   void KillRelay(size_t relay);
 
-  /// A relay does nothing for a time, while all else goes on.
+  /// Freezes a relay for `time`, while all else goes on.
   void FreezeRelay(size_t relay, Millis time);
 
-  /// Nothing passes between a relay and the control hosts.
+  /// Cuts the connection between a relay and the control hosts, or restores it.
   void CutRelay(size_t relay, bool is_cut);
 
-  /// Orders that came to workers by relays, those repeated among them.
+  /// Orders that reached workers through relays, including repeated ones.
   uint64_t relayed() const { return m_relayed; }
 
   void OpenWave(std::vector<std::string> hosts);
+
+  /// Cuts a worker off from all other hosts, or reconnects it.
   void Cut(const std::string& worker, bool is_cut);
 
-  /// Commits take so long from now on, and so does a quorum's word.
+  /// Sets the duration of commits and of confirmations by a quorum.
   void SlowCommits(Millis time) {
     m_sync = time;
     m_word = time;
   }
 
-  /// A quorum's word that is not a commit takes so long from now on.
+  /// Sets the duration of confirmations by a quorum.
   void SlowWords(Millis time) { m_word = time; }
 
-  /// A call's way, there and back each, takes between these from now on, and
-  /// its time runs out meanwhile.
+  /// Sets the range of the network delay of each direction of a call, which
+  /// counts against the call's timeout.
   void SlowCalls(Millis least, Millis most) {
     m_least_delay = least;
     m_most_delay = most;
   }
 
-  /// Acts on hosts are carried out one after the other from now on, and each
-  /// takes so long.
+  /// Makes actions on hosts run one after the other, each for `time`.
   void SlowActs(Millis time) { m_act_time = time; }
 
-  /// Each control host's thread comes round this often from now on: answers and
-  /// timers wait until then, and a call's time runs out meanwhile.
+  /// Sets the period at which the threads of control hosts run: answers and
+  /// timers wait for the next round, which counts against a call's timeout.
   void SlowThreads(Millis round) { m_round = round; }
   void Advance(Millis time);
 
@@ -228,43 +240,46 @@
   size_t leader() const { return m_leader; }
   FakeWorker& worker(const std::string& id) { return *m_workers.at(id); }
   uint64_t starts() const { return m_starts; }
-  /// How often a task was started, and workers that it crashed.
+  /// How often a task was started.
   uint64_t StartsOf(const std::string& task) const;
+  /// How many workers a task crashed.
   uint64_t CrashesOf(const std::string& task) const;
-  /// Workers that went down while a task of a job was at work there: the most
-  /// of one task, whatever the reason.
+  /// The number of workers that went down, for any reason, while one task of a
+  /// job ran there; the maximum over the job's tasks.
   uint64_t MostDeathsUnder(const std::string& job) const;
-  /// Calls to workers that the leaders counted as unanswered.
+  /// Calls to workers whose outcome the leaders counted as unknown.
   uint64_t unknown_calls() const;
-  /// What the last order to start was given for its answer.
+  /// The timeout of the last order to start a run.
   Millis last_timeout() const { return m_last_timeout; }
   const std::vector<std::string>& maintained() const { return m_maintained; }
 
-  /// Hosts that were moved and where to, in order.
+  /// The hosts that were moved, each with its new pool, in order.
   const std::vector<std::pair<std::string, std::string>>& moved() const {
     return m_moved;
   }
-  /// Runs that were under way on a host when it was taken down.
+  /// Runs that were active on a host when it was taken down.
   size_t cut_off() const { return m_cut_off; }
-  /// Of all control hosts, in their order.
+  /// The sight() of each control host.
   std::vector<DispatchSight> sights() const;
   std::mt19937_64& random() { return m_random; }
 
   Weather weather;
-  double failing = 0;  ///< Share of runs that fail by their own fault.
-  /// Tasks that crash each worker that starts them, some time after the start;
-  /// the worker's host has a new life after crash_pause.
+  double failing = 0;  ///< Probability that a run fails by its own fault.
+  /// Tasks that crash each worker that runs them, with the time from the start
+  /// to the crash. The worker's host gets a new incarnation after crash_pause.
   std::map<std::string, Millis> crashing;
   Millis crash_pause{3'000};
-  double reborn = 0;  ///< Share of these lives that have the id of the last.
-  bool has_same_ids = false;  ///< After a maintenance, too.
-  scheduling::Resources capacity{4'000, 16'000, 0};  ///< Of workers to come.
-  /// How many times its estimate a run takes; if not 1, it tells how far it is.
+  double reborn = 0;          ///< Probability that such a worker keeps its id.
+  bool has_same_ids = false;  ///< Workers keep their id over maintenance.
+  scheduling::Resources capacity{4'000, 16'000,
+                                 0};  ///< Of workers added later.
+  /// The run time as a multiple of the estimate; if not 1, runs report
+  /// progress.
   double stretch = 1;
-  /// How long a persistent task takes from its start until it is at work.
+  /// The time that a persistent task takes to start up.
   Millis rise{0};
-  /// Nothing but the control hosts is disturbed: a lease that lapses counts as
-  /// an order of theirs.
+  /// Only the control hosts are disturbed, so a lease that lapses is checked
+  /// like an order that ends the run.
   bool is_calm = false;
 
  private:
@@ -328,7 +343,7 @@
   Millis m_act_time{0};
   Millis m_last_timeout{0};
   Millis m_round{0};
-  SteadyTime m_acts_free_at{};  // The act before is over.
+  SteadyTime m_acts_free_at{};  // When the last action on a host is over.
   std::vector<std::unique_ptr<Host>> m_hosts;
   std::vector<std::unique_ptr<RelayNode>> m_relays;
   uint64_t m_relayed = 0;
@@ -336,20 +351,21 @@
   std::set<scheduling::TaskId> m_noted_done;
   std::vector<std::string> m_violations;
   uint64_t m_starts = 0;
-  /// Whose jobs the queues took, and until when; the newest last.
+  /// The identity settings, each with the end of its validity; newest last.
   std::vector<std::pair<scheduling::IdentitySpec, SteadyTime>> m_identities;
-  std::map<std::string, uint64_t> m_words_of;  // By worker.
-  /// What each worker says of itself with its beats.
+  // The sequence of the newest announcement, by worker.
+  std::map<std::string, uint64_t> m_words_of;
+  /// The announcement that each worker repeats, by worker.
   std::map<std::string, AnnounceWorker> m_told;
   std::set<std::string> m_mute;
   uint64_t m_beats = 0;
-  bool m_is_late = false;  // The order that is being carried out.
+  bool m_is_late = false;  // The order that is being carried out is late.
   std::map<std::string, uint64_t> m_starts_of;     // By task.
   std::map<std::string, uint64_t> m_crashes_of;    // By task.
   std::map<std::string, uint64_t> m_deaths_under;  // By task.
   std::map<std::string, uint64_t> m_starts_after_crashes;
-  /// Of persistent tasks: when one was at work last, and those that an order
-  /// ended since.
+  /// When each persistent task was last running, and the persistent tasks that
+  /// an order has ended since.
   std::map<scheduling::TaskId, SteadyTime> m_at_work;
   std::set<scheduling::TaskId> m_ended_by_order;
   std::map<std::string, uint64_t> m_newest_term;   // By worker.
