--- a/packages/dispatch/src/admission_limit_p.h
+++ b/packages/dispatch/src/admission_limit_p.h
@@ -10,7 +10,7 @@
 enum class AskedOutcome {
   kAnswered,
   kNotAnswered,  ///< It was sent and timed out.
-  kNotSent,      ///< No leader was known.
+  kNotSent,      ///< No leader was known, or it was lost.
   kCount,
 };
 
--- a/packages/dispatch/src/leadership_p.h
+++ b/packages/dispatch/src/leadership_p.h
@@ -595,11 +595,11 @@
                            const scheduling::Worker& worker) const;
   void ReportPool(const scheduling::PoolNeed& pool,
                   const std::vector<scheduling::PoolHost>& hosts) const;
-  /// Cores that a service needs for present and arriving short work (`now`),
-  /// for the work that is expected (`soon`), and for its persistent tasks.
+  /// Cores that a service needs for present and arriving short work, for
+  /// short work that is expected, and for its persistent tasks.
   struct ServiceNeed {
-    double now = 0;
-    double soon = 0;
+    double current = 0;
+    double expected = 0;
     double persistent = 0;
   };
   std::map<std::string, ServiceNeed> NeededCores(const Ledger& ledger) const;
--- a/packages/dispatch/src/moves.cc
+++ b/packages/dispatch/src/moves.cc
@@ -169,14 +169,14 @@
   }
   const auto before =
       std::exchange(m_inventory_version, ledger.workers_version());
-  const bool is_told =
+  const bool is_updated =
       before && ledger.VisitChangedWorkers(*before, [&](const std::string& id) {
         const Worker* worker = ledger.FindWorker(id);
         if (worker != nullptr) {
           UpdateHostOf(*worker);
         }
       });
-  if (is_told) {
+  if (is_updated) {
     return;
   }
   for (const auto& [id, worker] : ledger.workers()) {
@@ -221,7 +221,7 @@
             ? kOverdueQueueTime
             : std::max(kMinQueueTime, std::chrono::duration_cast<Millis>(
                                           waiting.left * kQueueTimeShare));
-    needs[ledger.ServiceOf(job)].now +=
+    needs[ledger.ServiceOf(job)].current +=
         waiting.core_millis / static_cast<double>(within.count());
   }
   for (const auto& [id, worker] : ledger.workers()) {
@@ -229,21 +229,24 @@
         static_cast<double>(worker.persistent_millicores) / 1000;
     ServiceNeed& need = needs[worker.info.service];
     need.persistent += persistent;
-    need.now += static_cast<double>(worker.used.millicores) / 1000 - persistent;
+    need.current +=
+        static_cast<double>(worker.used.millicores) / 1000 - persistent;
   }
   const bool has_headroom = m_init.mechanisms.Has(Mechanism::kHeadroom);
-  const double here = has_headroom ? kHeadroomPresent : 1;
-  const double arriving = has_headroom ? kHeadroomArriving : 1;
+  const double present_headroom = has_headroom ? kHeadroomPresent : 1;
+  const double arriving_headroom = has_headroom ? kHeadroomArriving : 1;
   for (const auto& service : ledger.configuration().services) {
     // The greater of present and arriving work, as present work was counted as
     // arriving before.
     ServiceNeed& need = needs[service.name];
-    need.now =
-        std::max(need.now * here, m_demand.Rate(service.name, now) * arriving);
+    need.current =
+        std::max(need.current * present_headroom,
+                 m_demand.Rate(service.name, now) * arriving_headroom);
     // The need at the time at which a host that is chosen now can serve.
-    need.soon =
-        arriving * std::max(m_demand.Expected(service.name, now, kMinMoveTime),
-                            m_demand.Expected(service.name, now, kMaxMoveTime));
+    need.expected =
+        arriving_headroom *
+        std::max(m_demand.Expected(service.name, now, kMinMoveTime),
+                 m_demand.Expected(service.name, now, kMaxMoveTime));
   }
   return needs;
 }
@@ -253,15 +256,16 @@
   Millis longest{0};
   for (const TaskId& id : worker.active) {
     const Job& job = *ledger.FindJob(id.job);
-    const Millis whole = m_planner.RunTimeOf(job, id.step);
-    Millis gone{0};
+    const Millis whole_run_time = m_planner.RunTimeOf(job, id.step);
+    Millis run_so_far{0};
     for (const auto& active : job.tasks[job.IndexOf(id)].active) {
       const auto track = m_runs.find({id, active.run});
       if (track != m_runs.end() && track->second.begun_at != SteadyTime()) {
-        gone = std::chrono::floor<Millis>(Now() - track->second.begun_at);
+        run_so_far = std::chrono::floor<Millis>(Now() - track->second.begun_at);
       }
     }
-    longest = std::max(longest, std::max(kMinTimeLeft, whole - gone));
+    longest =
+        std::max(longest, std::max(kMinTimeLeft, whole_run_time - run_so_far));
   }
   return longest;
 }
@@ -388,8 +392,9 @@
   for (const auto& service : ledger.configuration().services) {
     const ServiceNeed& need = needs.at(service.name);
     const auto hosts = persistent.find(service.name);
-    pools.push_back({service.name, service.is_spare, need.now + need.persistent,
-                     need.soon + need.persistent,
+    pools.push_back({service.name, service.is_spare,
+                     need.current + need.persistent,
+                     need.expected + need.persistent,
                      hosts == persistent.end() ? 0 : hosts->second});
   }
   std::vector<PoolHost> hosts;
@@ -416,9 +421,9 @@
     if (worker != nullptr && out.is_movable) {
       out.empties_in = EstimateDrainTime(ledger, *worker);
     }
-    const bool is_served =
+    const bool counts_for_pool =
         worker == nullptr ? is_off || move != m_moves.end() : Serves(*worker);
-    if (!state.is_up || !is_served) {
+    if (!state.is_up || !counts_for_pool) {
       out.cores = 0;  // Adds no capacity to its pool.
     }
   }
@@ -442,9 +447,10 @@
     track.chosen_at = now;
     const auto of = [&](const std::string& service) {
       const auto found = needs.find(service);
-      return found == needs.end() ? int64_t{0}
-                                  : static_cast<int64_t>(std::max(
-                                        found->second.now, found->second.soon));
+      return found == needs.end()
+                 ? int64_t{0}
+                 : static_cast<int64_t>(
+                       std::max(found->second.current, found->second.expected));
     };
     DecisionLog::Get().Write(DecisionLine("pools", "move")
                                  .With("host", move.host)
@@ -464,9 +470,9 @@
       now < track.next_try || now - track.chosen_at < kMoveSettleTime) {
     return;
   }
-  const auto& lives = ledger.WorkersOn(host);
-  const bool is_empty =
-      std::all_of(lives.begin(), lives.end(), [&](const std::string& life) {
+  const auto& incarnations = ledger.WorkersOn(host);
+  const bool is_empty = std::all_of(
+      incarnations.begin(), incarnations.end(), [&](const std::string& life) {
         return ledger.FindWorker(life)->active.empty() &&
                !m_planner.HasPlanned(life);
       });
--- a/packages/dispatch/tests/world.cc
+++ b/packages/dispatch/tests/world.cc
@@ -17,20 +17,20 @@
 
 constexpr Millis kLongestLease{6'000};
 constexpr Millis kStep{5};
-constexpr Millis kElection{1'000};
+constexpr Millis kElectionTime{1'000};
 // The interval between two announcements of a worker.
-constexpr Millis kBeat{1'000};
+constexpr Millis kAnnouncementPeriod{1'000};
 // No other host is elected before this time, as voters keep to a leader for it.
-constexpr Millis kShortestElection{600};
+constexpr Millis kMinElectionTime{600};
 // A leader that reaches no quorum ends its commits as unknown after this.
-constexpr Millis kCommitGivenUp{1'200};
+constexpr Millis kCommitTimeout{1'200};
 // Calls whose network delay may exceed this can time out.
-constexpr Millis kUsualDelay{4};
-// A task must not be started kMostStartsAfter times more after it has crashed
-// kMostCrashes workers.
-constexpr uint64_t kMostCrashes = 3;
-constexpr uint64_t kMostStartsAfter = 3;
-uint64_t NumberOf(const char* variable, uint64_t usual) {
+constexpr Millis kMaxUsualDelay{4};
+// A task must not be started kMaxStartsAfterCrashes times more after it has
+// crashed kMaxCrashes workers.
+constexpr uint64_t kMaxCrashes = 3;
+constexpr uint64_t kMaxStartsAfterCrashes = 3;
+uint64_t NumberFromEnvironment(const char* variable, uint64_t usual) {
   const char* wanted = std::getenv(variable);
   return wanted == nullptr ? usual : std::strtoull(wanted, nullptr, 10);
 }
@@ -41,9 +41,9 @@
 // announcement.
 constexpr Millis kRoomGrace{4'500};
 // The greatest delay of an order that is carried out late.
-constexpr Millis kLatest{12'000};
+constexpr Millis kMaxLateness{12'000};
 // A persistent task counts as away when it was not running for this long.
-constexpr Millis kNotice{4'500};
+constexpr Millis kAwayTime{4'500};
 
 }  // namespace
 
@@ -59,8 +59,9 @@
 }
 
 std::vector<uint64_t> SeedsToPlay(uint64_t usual) {
-  std::vector<uint64_t> seeds(NumberOf("LAURELHALL_SEEDS", usual));
-  std::iota(seeds.begin(), seeds.end(), NumberOf("LAURELHALL_FIRST_SEED", 1));
+  std::vector<uint64_t> seeds(NumberFromEnvironment("LAURELHALL_SEEDS", usual));
+  std::iota(seeds.begin(), seeds.end(),
+            NumberFromEnvironment("LAURELHALL_FIRST_SEED", 1));
   return seeds;
 }
 
@@ -182,10 +183,10 @@
 }
 
 void FakeWorker::BeginAgain(SteadyTime now) {
-  const auto today = std::chrono::floor<Millis>(now.time_since_epoch());
+  const auto now_ms = std::chrono::floor<Millis>(now.time_since_epoch());
   m_is_dead = false;
-  m_born = WallTime(today);
-  m_clock_offset = -today;
+  m_born = WallTime(now_ms);
+  m_clock_offset = -now_ms;
   m_lease_end = WorkerTime(0);
   m_fence = 0;
   m_next_end = 1;
@@ -256,7 +257,7 @@
   template <typename Result>
   std::function<void(Result)> InTime(Millis timeout,
                                      std::function<void(Result)> done) {
-    if (world.m_round == Millis(0) && world.m_most_delay <= kUsualDelay) {
+    if (world.m_round == Millis(0) && world.m_most_delay <= kMaxUsualDelay) {
       return done;
     }
     const SteadyTime until = world.Now() + timeout;
@@ -283,17 +284,19 @@
   SteadyTime Now() const override { return m_world.Now(); }
 
   TimerHandle SubscribeEvery(Millis period, Callback callback) override {
-    return m_world.m_timers.SubscribeEvery(period, Guard(std::move(callback)));
+    return m_world.m_timers.SubscribeEvery(period,
+                                           OnHostThread(std::move(callback)));
   }
 
   TimerHandle SubscribeOnce(Millis delay, Callback callback) override {
-    return m_world.m_timers.SubscribeOnce(delay, Guard(std::move(callback)));
+    return m_world.m_timers.SubscribeOnce(delay,
+                                          OnHostThread(std::move(callback)));
   }
 
   void Cancel(TimerHandle timer) override { m_world.m_timers.Cancel(timer); }
 
  private:
-  Callback Guard(Callback callback) {
+  Callback OnHostThread(Callback callback) {
     return [this, callback = std::move(callback)](SteadyTime) {
       m_host.Run([this, callback] { callback(m_world.Now()); });
     };
@@ -333,7 +336,7 @@
         return;
       }
       if (!m_host.has_quorum) {
-        m_world.After(kCommitGivenUp,
+        m_world.After(kCommitTimeout,
                       [done] { done(scheduling::CommitOutcome::kUnknown); });
         return;
       }
@@ -378,7 +381,7 @@
     m_world.m_last_timeout = order.timeout;
     Call(
         order.worker.id,
-        [this, order, term = TermOf(order.fence)](FakeWorker& worker) {
+        [this, order, term = OrderTerm(order.fence)](FakeWorker& worker) {
           if (m_world.Chance(m_world.weather.refused)) {
             return CallReply{CallOutcome::kRefused, {}};
           }
@@ -412,7 +415,7 @@
   void Stop(StopOrder order, std::function<void(CallReply)> done) override {
     Call(
         order.worker.id,
-        [this, order, term = TermOf(order.fence)](FakeWorker& worker) {
+        [this, order, term = OrderTerm(order.fence)](FakeWorker& worker) {
           if (!m_world.m_is_late) {
             m_world.CheckStop(worker, order);
           }
@@ -438,14 +441,14 @@
     m_world.After(m_world.Delay(), [this, order,
                                     done = m_host.WhenAwake(m_host.InTime(
                                         order.timeout, std::move(done)))] {
-      Look(order, m_world.Now() + order.wait, done);
+      PollWorker(order, m_world.Now() + order.wait, done);
     });
   }
 
   void Forget(const WorkerAddress&) override {}
 
  private:
-  uint64_t TermOf(uint64_t fence) {
+  uint64_t OrderTerm(uint64_t fence) {
     m_world.m_relayed += m_is_relay ? 1 : 0;
     return m_is_relay ? fence >> kFenceLifeBits : m_host.term;
   }
@@ -453,9 +456,9 @@
   bool IsCut(const std::string& id) const { return m_world.m_cut.contains(id); }
 
   // Answers when the worker has an end to report or the wait is over.
-  void Look(const HoldOrder& order,
-            SteadyTime until,
-            const std::function<void(HoldReply)>& done) {
+  void PollWorker(const HoldOrder& order,
+                  SteadyTime until,
+                  const std::function<void(HoldReply)>& done) {
     FakeWorker& worker = *m_world.m_workers.at(order.worker.id);
     if (IsCut(order.worker.id)) {
       m_world.After(Millis(600), [done] { done({}); });
@@ -466,8 +469,9 @@
       return;
     }
     if (m_world.Now() < until && !worker.has_news(order.ends_seen)) {
-      m_world.After(kStep,
-                    [this, order, until, done] { Look(order, until, done); });
+      m_world.After(kStep, [this, order, until, done] {
+        PollWorker(order, until, done);
+      });
       return;
     }
     const HoldReply reply = worker.Hold(order, m_world.Now());
@@ -480,7 +484,7 @@
     const auto done = m_host.WhenAwake(std::move(to));
     FakeWorker& worker = *m_world.m_workers.at(id);
     const Weather& weather = m_world.weather;
-    const auto give_up = [this, done] {
+    const auto time_out = [this, done] {
       m_world.After(Millis(450), [done] { done({CallOutcome::kUnknown, {}}); });
     };
     if (worker.is_dead() && !IsCut(id)) {
@@ -488,9 +492,9 @@
         done({CallOutcome::kNotReached, {}});
       });
     } else if (IsCut(id) || m_world.Chance(weather.lost)) {
-      give_up();
+      time_out();
     } else if (m_world.Chance(weather.late)) {
-      std::uniform_int_distribution<int64_t> late(2'000, kLatest.count());
+      std::uniform_int_distribution<int64_t> late(2'000, kMaxLateness.count());
       // A later incarnation must refuse an order meant for an earlier one once
       // it has received an order of a leader. Before that it can't refuse it,
       // so the order is dropped here.
@@ -504,14 +508,14 @@
                         m_world.m_is_late = false;
                       }
                     });
-      give_up();
+      time_out();
     } else if (m_world.Chance(weather.unheard)) {
       m_world.After(m_world.Delay(), [act, &worker] {
         if (!worker.is_dead()) {
           act(worker);
         }
       });
-      give_up();
+      time_out();
     } else {
       m_world.After(m_world.Delay(), [this, act, &worker, done] {
         const CallReply reply = worker.is_dead() ? CallReply() : act(worker);
@@ -547,7 +551,7 @@
 
   void Maintain(HostAct act, std::function<void(HostActOutcome)> to) override {
     const auto done = m_host.WhenAwake(std::move(to));
-    if (IsHeldBack(act, done)) {
+    if (RefuseIfMayNotSend(act, done)) {
       return;
     }
     m_world.After(m_world.ActDelay(), [this, act, done] {
@@ -567,7 +571,7 @@
 
   void Move(HostAct act, std::function<void(HostActOutcome)> to) override {
     const auto done = m_host.WhenAwake(std::move(to));
-    if (IsHeldBack(act, done)) {
+    if (RefuseIfMayNotSend(act, done)) {
       return;
     }
     m_world.After(m_world.ActDelay(), [this, act, done] {
@@ -587,8 +591,8 @@
 
  private:
   // Asks may_send() right before an action is sent, as a connection does.
-  bool IsHeldBack(const HostAct& act,
-                  const std::function<void(HostActOutcome)>& done) {
+  bool RefuseIfMayNotSend(const HostAct& act,
+                          const std::function<void(HostActOutcome)>& done) {
     if (!act.may_send || act.may_send()) {
       return false;
     }
@@ -886,7 +890,7 @@
         [](const Reply&) {});
   });
   // The workers' announcements are spread over the interval.
-  After(kBeat * static_cast<int>(m_workers.size() % 8) / 8,
+  After(kAnnouncementPeriod * static_cast<int>(m_workers.size() % 8) / 8,
         [this, id] { Beat(id); });
 }
 
@@ -900,7 +904,7 @@
 // Sends the worker's announcement to the control hosts in turn. If one can't
 // answer it, it is sent to the leader.
 void World::Beat(const std::string& id) {
-  After(kBeat, [this, id] { Beat(id); });
+  After(kAnnouncementPeriod, [this, id] { Beat(id); });
   const auto told = m_told.find(id);
   const FakeWorker& worker = *m_workers.at(id);
   if (told == m_told.end() || worker.is_dead() || m_cut.contains(id) ||
@@ -1017,8 +1021,8 @@
 
 void World::CountStart(const std::string& task) {
   ++m_starts_of[task];
-  if (CrashesOf(task) >= kMostCrashes &&
-      ++m_starts_after_crashes[task] == kMostStartsAfter) {
+  if (CrashesOf(task) >= kMaxCrashes &&
+      ++m_starts_after_crashes[task] == kMaxStartsAfterCrashes) {
     Violate(task +
             " is started three times more after it crashed three workers");
   }
@@ -1110,7 +1114,7 @@
     return;
   }
   m_hosts[m_leader]->has_quorum = false;
-  After(kShortestElection, [this, unaware] {
+  After(kMinElectionTime, [this, unaware] {
     m_is_electing = false;
     m_hosts[m_leader]->is_behind = true;
     for (const auto& open : m_open_commits) {
@@ -1195,9 +1199,9 @@
 void World::FreezeLeader(Millis time, Millis unaware) {
   Host& frozen = *m_hosts[m_leader];
   frozen.is_frozen = true;
-  Advance(kElection);
-  ChangeLeader(time - kElection + unaware);
-  Advance(time - kElection);
+  Advance(kElectionTime);
+  ChangeLeader(time - kElectionTime + unaware);
+  Advance(time - kElectionTime);
   Wake(frozen);
 }
 
@@ -1256,18 +1260,18 @@
 bool World::IsAway(const TaskId& task) const {
   const auto at_work = m_at_work.find(task);
   return at_work == m_at_work.end() || m_ended_by_order.contains(task) ||
-         Now() - at_work->second >= kNotice;
+         Now() - at_work->second >= kAwayTime;
 }
 
 // A persistent task may be ended only while fewer others of its step are away
 // than may_miss. A task is away if an order ended it, or if it has not been
-// running for kNotice for any reason.
+// running for kAwayTime for any reason.
 void World::CheckStop(const FakeWorker& worker, const StopOrder& order) {
   const auto running = worker.runs().find(order.task);
-  const bool ends_it =
+  const bool ends_running_task =
       running != worker.runs().end() && running->second.run == order.run &&
       running->second.is_persistent && running->second.PercentAt(Now()) == 100;
-  if (ends_it) {
+  if (ends_running_task) {
     CheckEnding(order.task, "by a stop");
   }
 }
@@ -1328,7 +1332,7 @@
       Violate(task + " runs on " + id + " and " + worker.id());
     }
   }
-  const Millis grace = m_is_late ? kRoomGrace + kLatest : kRoomGrace;
+  const Millis grace = m_is_late ? kRoomGrace + kMaxLateness : kRoomGrace;
   if (!scheduling::Fits(worker.Used(), worker.RoomAsKnown(Now(), grace))) {
     Violate(task + " exceeds the capacity of " + worker.id());
   }
@@ -1344,7 +1348,7 @@
 // The highest cap of those that may be in force on some host; empty if there is
 // no limit.
 scheduling::Resources World::CapInForce(const std::string& organisation) const {
-  const Millis grace = m_is_late ? kCapGrace + kLatest : kCapGrace;
+  const Millis grace = m_is_late ? kCapGrace + kMaxLateness : kCapGrace;
   scheduling::Resources highest;
   for (const auto& [identities, until] : m_identities) {
     if (until < Now() - grace) {
@@ -1376,8 +1380,9 @@
   for (const auto& [id, worker] : m_workers) {
     for (const auto& [task, run] : worker->runs()) {
       const scheduling::Job* job = m_ledger.FindJob(task.job);
-      const bool is_its = job != nullptr && job->organisation == organisation;
-      in_use += is_its ? run.need.millicores : 0;
+      const bool is_of_organisation =
+          job != nullptr && job->organisation == organisation;
+      in_use += is_of_organisation ? run.need.millicores : 0;
     }
   }
   if (in_use > cap.millicores) {
