--- a/packages/dispatch/tests/world.cc
+++ b/packages/dispatch/tests/world.cc
@@ -17,32 +17,33 @@
 
 constexpr Millis kLongestLease{6'000};
 constexpr Millis kStep{5};
-constexpr Millis kElection{1'000};
-// Between two announcements of a worker.
-constexpr Millis kBeat{1'000};
-// No other host is elected before: voters keep to a leader for so long.
-constexpr Millis kShortestElection{600};
-// A leader that hears no quorum ends its commits as unknown after this.
-constexpr Millis kCommitGivenUp{1'200};
-// Calls that take longer on their way may run out of time.
-constexpr Millis kUsualDelay{4};
-// A task that crashes the workers that start it must not be started so often
-// after so many workers went down under it.
-constexpr uint64_t kMostCrashes = 3;
-constexpr uint64_t kMostStartsAfter = 3;
-// A room that has shrunk counts so long later: contact and one announcement.
-uint64_t NumberOf(const char* variable, uint64_t usual) {
+constexpr Millis kElectionTime{1'000};
+// The interval between two announcements of a worker.
+constexpr Millis kAnnouncementPeriod{1'000};
+// No other host is elected before this time, as voters keep to a leader for it.
+constexpr Millis kMinElectionTime{600};
+// A leader that reaches no quorum ends its commits as unknown after this.
+constexpr Millis kCommitTimeout{1'200};
+// Calls whose network delay may exceed this can time out.
+constexpr Millis kMaxUsualDelay{4};
+// A task must not be started kMaxStartsAfterCrashes times more after it has
+// crashed kMaxCrashes workers.
+constexpr uint64_t kMaxCrashes = 3;
+constexpr uint64_t kMaxStartsAfterCrashes = 3;
+uint64_t NumberFromEnvironment(const char* variable, uint64_t usual) {
   const char* wanted = std::getenv(variable);
   return wanted == nullptr ? usual : std::strtoull(wanted, nullptr, 10);
 }
 
-// A configuration that is replaced may be in force for so long.
+// How long a replaced configuration may still be in force.
 constexpr Millis kCapGrace{2'500};
+// How long a leader may use a capacity that has shrunk: until contact and one
+// announcement.
 constexpr Millis kRoomGrace{4'500};
-// By how much an order may be carried out late.
-constexpr Millis kLatest{12'000};
-// A persistent task counts as away when it was not at work for so long.
-constexpr Millis kNotice{4'500};
+// The greatest delay of an order that is carried out late.
+constexpr Millis kMaxLateness{12'000};
+// A persistent task counts as away when it was not running for this long.
+constexpr Millis kAwayTime{4'500};
 
 }  // namespace
 
@@ -58,8 +59,9 @@
 }
 
 std::vector<uint64_t> SeedsToPlay(uint64_t usual) {
-  std::vector<uint64_t> seeds(NumberOf("LAURELHALL_SEEDS", usual));
-  std::iota(seeds.begin(), seeds.end(), NumberOf("LAURELHALL_FIRST_SEED", 1));
+  std::vector<uint64_t> seeds(NumberFromEnvironment("LAURELHALL_SEEDS", usual));
+  std::iota(seeds.begin(), seeds.end(),
+            NumberFromEnvironment("LAURELHALL_FIRST_SEED", 1));
   return seeds;
 }
 
@@ -142,7 +144,7 @@
   reply.outcome = CallOutcome::kDone;
   reply.born = m_born;
   for (const EndedRun& ended : m_ended) {
-    // Noted only if the lease has not lapsed since: else it may run again.
+    // Not if the lease has lapsed since: the task may then run again.
     if (ended.number <= order.ends_seen && ended.number > m_lapsed_ends &&
         ended.end == RunEnd::kDone && on_done) {
       on_done(ended.task);
@@ -181,10 +183,10 @@
 }
 
 void FakeWorker::BeginAgain(SteadyTime now) {
-  const auto today = std::chrono::floor<Millis>(now.time_since_epoch());
+  const auto now_ms = std::chrono::floor<Millis>(now.time_since_epoch());
   m_is_dead = false;
-  m_born = WallTime(today);
-  m_clock_offset = -today;
+  m_born = WallTime(now_ms);
+  m_clock_offset = -now_ms;
   m_lease_end = WorkerTime(0);
   m_fence = 0;
   m_next_end = 1;
@@ -217,20 +219,20 @@
   }
 }
 
-// What the log and the calls of one control host know of it.
+// The state of a simulated host that its log, timers and calls use.
 struct World::HostView {
   explicit HostView(World& of) : world(of) {}
 
   World& world;
   uint64_t term = 0;
-  bool is_behind = false;  // Hears nothing of what is committed.
+  bool is_behind = false;  // Receives no committed records.
   bool has_quorum = true;
   bool is_frozen = false;
-  std::vector<std::function<void()>> backlog;  // Due while it was frozen.
+  std::vector<std::function<void()>> backlog;  // Queued while it is frozen.
   std::vector<std::function<void()>> next_round;
 
-  // Runs what comes to its one thread, when it wakes if it is frozen, or comes
-  // round if it is slow.
+  // Runs a task on the host's one thread: at once, when the host wakes if it is
+  // frozen, or with the next round if its thread is slow.
   void Run(std::function<void()> task) {
     if (is_frozen) {
       backlog.push_back(std::move(task));
@@ -250,12 +252,12 @@
     }
   }
 
-  // An answer that a slow thread reads when the call's time is over counts for
-  // nothing. A freeze is not counted by the clock of the call.
+  // Discards an answer that the thread reads after the call's timeout. Only if
+  // threads or calls are slow, so that a freeze alone doesn't time a call out.
   template <typename Result>
   std::function<void(Result)> InTime(Millis timeout,
                                      std::function<void(Result)> done) {
-    if (world.m_round == Millis(0) && world.m_most_delay <= kUsualDelay) {
+    if (world.m_round == Millis(0) && world.m_most_delay <= kMaxUsualDelay) {
       return done;
     }
     const SteadyTime until = world.Now() + timeout;
@@ -273,8 +275,8 @@
   Ledger applied;
 };
 
-// The timers of a host: none runs while it is frozen, all that came due do when
-// it wakes.
+// The timers of a host. While it is frozen none runs; all that came due run
+// when it wakes.
 class World::Timers final : public TimerService {
  public:
   Timers(World& world, HostView& host) : m_world(world), m_host(host) {}
@@ -282,17 +284,19 @@
   SteadyTime Now() const override { return m_world.Now(); }
 
   TimerHandle SubscribeEvery(Millis period, Callback callback) override {
-    return m_world.m_timers.SubscribeEvery(period, Guard(std::move(callback)));
+    return m_world.m_timers.SubscribeEvery(period,
+                                           OnHostThread(std::move(callback)));
   }
 
   TimerHandle SubscribeOnce(Millis delay, Callback callback) override {
-    return m_world.m_timers.SubscribeOnce(delay, Guard(std::move(callback)));
+    return m_world.m_timers.SubscribeOnce(delay,
+                                          OnHostThread(std::move(callback)));
   }
 
   void Cancel(TimerHandle timer) override { m_world.m_timers.Cancel(timer); }
 
  private:
-  Callback Guard(Callback callback) {
+  Callback OnHostThread(Callback callback) {
     return [this, callback = std::move(callback)](SteadyTime) {
       m_host.Run([this, callback] { callback(m_world.Now()); });
     };
@@ -306,7 +310,7 @@
 
 struct World::OpenCommit {
   std::vector<scheduling::Record> records;
-  bool is_over = false;  // Another leader has begun meanwhile.
+  bool is_over = false;  // Another leader has taken over.
 };
 
 class World::Log final : public scheduling::ReplicatedLog {
@@ -332,7 +336,7 @@
         return;
       }
       if (!m_host.has_quorum) {
-        m_world.After(kCommitGivenUp,
+        m_world.After(kCommitTimeout,
                       [done] { done(scheduling::CommitOutcome::kUnknown); });
         return;
       }
@@ -352,7 +356,7 @@
 
   void Read(const std::function<void(const Ledger&)>& reader) const override {
     if (std::exchange(m_is_reading, true)) {
-      m_world.Violate("the ledger is read within a read: its lock is held");
+      m_world.Violate("the ledger is read within a read, which holds its lock");
     }
     reader(m_host.applied);
     m_is_reading = false;
@@ -368,7 +372,8 @@
 
 class World::Port final : public WorkerPort {
  public:
-  /// @param is_relay Calls in the name of whom an order's fence names.
+  /// @param is_relay Whether it relays orders: their term is then that of the
+  ///   fence, not the host's own.
   Port(World& world, HostView& host, bool is_relay = false)
       : m_world(world), m_host(host), m_is_relay(is_relay) {}
 
@@ -376,7 +381,7 @@
     m_world.m_last_timeout = order.timeout;
     Call(
         order.worker.id,
-        [this, order, term = TermOf(order.fence)](FakeWorker& worker) {
+        [this, order, term = OrderTerm(order.fence)](FakeWorker& worker) {
           if (m_world.Chance(m_world.weather.refused)) {
             return CallReply{CallOutcome::kRefused, {}};
           }
@@ -410,7 +415,7 @@
   void Stop(StopOrder order, std::function<void(CallReply)> done) override {
     Call(
         order.worker.id,
-        [this, order, term = TermOf(order.fence)](FakeWorker& worker) {
+        [this, order, term = OrderTerm(order.fence)](FakeWorker& worker) {
           if (!m_world.m_is_late) {
             m_world.CheckStop(worker, order);
           }
@@ -436,24 +441,24 @@
     m_world.After(m_world.Delay(), [this, order,
                                     done = m_host.WhenAwake(m_host.InTime(
                                         order.timeout, std::move(done)))] {
-      Look(order, m_world.Now() + order.wait, done);
+      PollWorker(order, m_world.Now() + order.wait, done);
     });
   }
 
   void Forget(const WorkerAddress&) override {}
 
  private:
-  uint64_t TermOf(uint64_t fence) {
+  uint64_t OrderTerm(uint64_t fence) {
     m_world.m_relayed += m_is_relay ? 1 : 0;
     return m_is_relay ? fence >> kFenceLifeBits : m_host.term;
   }
 
   bool IsCut(const std::string& id) const { return m_world.m_cut.contains(id); }
 
-  // Waits for an end as a worker does.
-  void Look(const HoldOrder& order,
-            SteadyTime until,
-            const std::function<void(HoldReply)>& done) {
+  // Answers when the worker has an end to report or the wait is over.
+  void PollWorker(const HoldOrder& order,
+                  SteadyTime until,
+                  const std::function<void(HoldReply)>& done) {
     FakeWorker& worker = *m_world.m_workers.at(order.worker.id);
     if (IsCut(order.worker.id)) {
       m_world.After(Millis(600), [done] { done({}); });
@@ -464,8 +469,9 @@
       return;
     }
     if (m_world.Now() < until && !worker.has_news(order.ends_seen)) {
-      m_world.After(kStep,
-                    [this, order, until, done] { Look(order, until, done); });
+      m_world.After(kStep, [this, order, until, done] {
+        PollWorker(order, until, done);
+      });
       return;
     }
     const HoldReply reply = worker.Hold(order, m_world.Now());
@@ -478,7 +484,7 @@
     const auto done = m_host.WhenAwake(std::move(to));
     FakeWorker& worker = *m_world.m_workers.at(id);
     const Weather& weather = m_world.weather;
-    const auto give_up = [this, done] {
+    const auto time_out = [this, done] {
       m_world.After(Millis(450), [done] { done({CallOutcome::kUnknown, {}}); });
     };
     if (worker.is_dead() && !IsCut(id)) {
@@ -486,11 +492,12 @@
         done({CallOutcome::kNotReached, {}});
       });
     } else if (IsCut(id) || m_world.Chance(weather.lost)) {
-      give_up();
+      time_out();
     } else if (m_world.Chance(weather.late)) {
-      std::uniform_int_distribution<int64_t> late(2'000, kLatest.count());
-      // One that was meant for an earlier life must be refused by a later one,
-      // as soon as that has heard of its leader; before, nothing can refuse it.
+      std::uniform_int_distribution<int64_t> late(2'000, kMaxLateness.count());
+      // A later incarnation must refuse an order meant for an earlier one once
+      // it has received an order of a leader. Before that it can't refuse it,
+      // so the order is dropped here.
       m_world.After(Millis(late(m_world.m_random)),
                     [this, act, &worker, born = worker.born()] {
                       const bool is_refusable =
@@ -501,14 +508,14 @@
                         m_world.m_is_late = false;
                       }
                     });
-      give_up();
+      time_out();
     } else if (m_world.Chance(weather.unheard)) {
       m_world.After(m_world.Delay(), [act, &worker] {
         if (!worker.is_dead()) {
           act(worker);
         }
       });
-      give_up();
+      time_out();
     } else {
       m_world.After(m_world.Delay(), [this, act, &worker, done] {
         const CallReply reply = worker.is_dead() ? CallReply() : act(worker);
@@ -517,7 +524,8 @@
     }
   }
 
-  // An order of an older leader must do nothing where a newer one's came.
+  // Checks that no order of an older leader is carried out after one of a newer
+  // leader.
   void CheckTerm(const FakeWorker& worker, uint64_t term) {
     uint64_t& newest = m_world.m_newest_term[worker.id()];
     if (term < newest) {
@@ -533,7 +541,8 @@
   const bool m_is_relay;
 };
 
-// Maintained hosts lose their worker and come back with another one.
+// Actions on hosts. Maintained hosts lose their worker and come back with
+// another one, or with the same id if has_same_ids is set.
 class World::Hosts final : public HostPort {
  public:
   Hosts(World& world, HostView& host) : m_world(world), m_host(host) {}
@@ -542,7 +551,7 @@
 
   void Maintain(HostAct act, std::function<void(HostActOutcome)> to) override {
     const auto done = m_host.WhenAwake(std::move(to));
-    if (IsHeldBack(act, done)) {
+    if (RefuseIfMayNotSend(act, done)) {
       return;
     }
     m_world.After(m_world.ActDelay(), [this, act, done] {
@@ -562,7 +571,7 @@
 
   void Move(HostAct act, std::function<void(HostActOutcome)> to) override {
     const auto done = m_host.WhenAwake(std::move(to));
-    if (IsHeldBack(act, done)) {
+    if (RefuseIfMayNotSend(act, done)) {
       return;
     }
     m_world.After(m_world.ActDelay(), [this, act, done] {
@@ -571,7 +580,7 @@
       EndWorkers(act.host);
       done(HostActOutcome::kDone);
       if (IsSpare(act.pool)) {
-        return;  // Off: nothing comes back.
+        return;  // The host is off, so no worker comes back.
       }
       m_world.After(Millis(1'500),
                     [this, act] { m_world.Revive(act.host, act.pool); });
@@ -581,9 +590,9 @@
   void List(const std::string&, std::function<void(HostPage)>) override {}
 
  private:
-  // Asked right before an act is sent, as a connection does.
-  bool IsHeldBack(const HostAct& act,
-                  const std::function<void(HostActOutcome)>& done) {
+  // Asks may_send() right before an action is sent, as a connection does.
+  bool RefuseIfMayNotSend(const HostAct& act,
+                          const std::function<void(HostActOutcome)>& done) {
     if (!act.may_send || act.may_send()) {
       return false;
     }
@@ -591,7 +600,7 @@
     return true;
   }
 
-  // The platform need not check fences: an old one must not be sent.
+  // The platform need not check fences, so an old one must not be sent.
   void CheckFence(const HostAct& act) {
     uint64_t& newest = m_world.m_newest_fence[act.host];
     if (act.fence < newest) {
@@ -623,7 +632,7 @@
         m_world.m_cut_off += m_world.m_workers.at(id)->runs().size();
         for (const auto& [task, run] : m_world.m_workers.at(id)->runs()) {
           if (run.is_persistent && run.PercentAt(m_world.Now()) == 100) {
-            m_world.CheckEnding(task, "with its host");
+            m_world.CheckEnding(task, "by taking its host down");
           }
         }
         m_world.Cut(id, true);
@@ -681,7 +690,7 @@
   std::unique_ptr<Dispatcher> dispatcher;
 };
 
-// An entry host as far as it relays orders.
+// An entry host, reduced to relaying orders.
 struct World::RelayNode : World::HostView {
   RelayNode(World& world, const std::string& name, const std::string& zone)
       : HostView(world), timers(world, *this), port(world, *this, true) {
@@ -710,7 +719,7 @@
   std::unique_ptr<OrderRelay> relay;
 };
 
-// As World::AskForRelay(), of another control host.
+// As AskForRelay(), for a request of a control host to the leader.
 void World::AskForHost(HostView& host,
                        const std::string& request,
                        SteadyTime deadline,
@@ -737,7 +746,8 @@
   });
 }
 
-// One try at the control host that leads; silence where a cut is between.
+// Sends one request to the leader, without a retry. There is no answer while
+// the relay is cut off.
 void World::AskForRelay(RelayNode& relay,
                         const std::string& request,
                         SteadyTime deadline,
@@ -772,7 +782,7 @@
   }
 }
 
-// What comes to it is never run.
+// A dead relay stays frozen, so its backlog is never run.
 void World::KillRelay(size_t relay) {
   m_relays[relay]->is_frozen = true;
   m_relays[relay]->is_dead = true;
@@ -872,29 +882,29 @@
   m_workers[id] = std::move(worker);
   m_words_of[id] = 1;
   BeginToBeat({info, 1, WallTime(Millis(1))});
-  // It is known since it has told the leader.
+  // Also announces it, as a worker known from the ledger has announced itself.
   After(Millis(0), [this, info] {
     m_hosts[m_leader]->dispatcher->Ask(
         AnnounceWorker{info, 1, WallTime(Millis(1)),
                        m_workers.at(info.id)->Clock(Now())},
         [](const Reply&) {});
   });
-  // Spread over the time between two.
-  After(kBeat * static_cast<int>(m_workers.size() % 8) / 8,
+  // The workers' announcements are spread over the interval.
+  After(kAnnouncementPeriod * static_cast<int>(m_workers.size() % 8) / 8,
         [this, id] { Beat(id); });
 }
 
-// A word that was overtaken by a newer one is not repeated.
+// An announcement that is older than the worker's newest one is not repeated.
 void World::BeginToBeat(const AnnounceWorker& word) {
   if (m_words_of[word.info.id] == word.sequence) {
     m_told[word.info.id] = word;
   }
 }
 
-// To one control host after the other; one that does not lead sends a worker on
-// to the leader with what it can't answer.
+// Sends the worker's announcement to the control hosts in turn. If one can't
+// answer it, it is sent to the leader.
 void World::Beat(const std::string& id) {
-  After(kBeat, [this, id] { Beat(id); });
+  After(kAnnouncementPeriod, [this, id] { Beat(id); });
   const auto told = m_told.find(id);
   const FakeWorker& worker = *m_workers.at(id);
   if (told == m_told.end() || worker.is_dead() || m_cut.contains(id) ||
@@ -934,7 +944,8 @@
   });
 }
 
-// A host that crashed and was then taken down comes back once.
+// Adds a worker to a host unless it has one: a host that crashed and was then
+// taken down comes back once only.
 void World::Revive(const std::string& host,
                    const std::string& service,
                    const std::string& rack) {
@@ -957,7 +968,7 @@
   info.is_draining = false;
   After(down_for, [this, &crashed, info, told_in]() mutable {
     if (!LifeOn(info.host).empty()) {
-      return;  // A host has one life at a time.
+      return;  // A host has one live worker at a time.
     }
     crashed.BeginAgain(Now());
     info.capacity = crashed.capacity();
@@ -1010,11 +1021,10 @@
 
 void World::CountStart(const std::string& task) {
   ++m_starts_of[task];
-  if (CrashesOf(task) >= kMostCrashes &&
-      ++m_starts_after_crashes[task] == kMostStartsAfter) {
+  if (CrashesOf(task) >= kMaxCrashes &&
+      ++m_starts_after_crashes[task] == kMaxStartsAfterCrashes) {
     Violate(task +
-            " is started three times more after three workers went "
-            "down under it");
+            " is started three times more after it crashed three workers");
   }
 }
 
@@ -1026,7 +1036,7 @@
   After(found->second, [this, task, worker] {
     const auto id = scheduling::ParseTaskId(task);
     if (!m_workers.at(worker)->runs().contains(*id)) {
-      return;  // It was stopped in time.
+      return;  // It was stopped before the crash.
     }
     ++m_crashes_of[task];
     if (reborn > 0 && Chance(reborn)) {
@@ -1104,7 +1114,7 @@
     return;
   }
   m_hosts[m_leader]->has_quorum = false;
-  After(kShortestElection, [this, unaware] {
+  After(kMinElectionTime, [this, unaware] {
     m_is_electing = false;
     m_hosts[m_leader]->is_behind = true;
     for (const auto& open : m_open_commits) {
@@ -1189,9 +1199,9 @@
 void World::FreezeLeader(Millis time, Millis unaware) {
   Host& frozen = *m_hosts[m_leader];
   frozen.is_frozen = true;
-  Advance(kElection);
-  ChangeLeader(time - kElection + unaware);
-  Advance(time - kElection);
+  Advance(kElectionTime);
+  ChangeLeader(time - kElectionTime + unaware);
+  Advance(time - kElectionTime);
   Wake(frozen);
 }
 
@@ -1250,17 +1260,18 @@
 bool World::IsAway(const TaskId& task) const {
   const auto at_work = m_at_work.find(task);
   return at_work == m_at_work.end() || m_ended_by_order.contains(task) ||
-         Now() - at_work->second >= kNotice;
+         Now() - at_work->second >= kAwayTime;
 }
 
 // A persistent task may be ended only while fewer others of its step are away
-// than may be: by such an order, or for long for any cause.
+// than may_miss. A task is away if an order ended it, or if it has not been
+// running for kAwayTime for any reason.
 void World::CheckStop(const FakeWorker& worker, const StopOrder& order) {
   const auto running = worker.runs().find(order.task);
-  const bool ends_it =
+  const bool ends_running_task =
       running != worker.runs().end() && running->second.run == order.run &&
       running->second.is_persistent && running->second.PercentAt(Now()) == 100;
-  if (ends_it) {
+  if (ends_running_task) {
     CheckEnding(order.task, "by a stop");
   }
 }
@@ -1314,16 +1325,16 @@
   CountStart(task);
   CrashLater(task, worker.id());
   if (m_noted_done.contains(order.task)) {
-    Violate(task + " is started after its end was noted");
+    Violate(task + " is started after its end was acknowledged");
   }
   for (const auto& [id, other] : m_workers) {
     if (id != worker.id() && other->runs().contains(order.task)) {
       Violate(task + " runs on " + id + " and " + worker.id());
     }
   }
-  const Millis grace = m_is_late ? kRoomGrace + kLatest : kRoomGrace;
+  const Millis grace = m_is_late ? kRoomGrace + kMaxLateness : kRoomGrace;
   if (!scheduling::Fits(worker.Used(), worker.RoomAsKnown(Now(), grace))) {
-    Violate(task + " is over the room of " + worker.id());
+    Violate(task + " exceeds the capacity of " + worker.id());
   }
   CheckCap(order);
   const scheduling::Job& job = *m_ledger.FindJob(order.task.job);
@@ -1334,9 +1345,10 @@
   }
 }
 
-// The highest of those that may be in force somewhere; nothing: no limit.
+// The highest cap of those that may be in force on some host; empty if there is
+// no limit.
 scheduling::Resources World::CapInForce(const std::string& organisation) const {
-  const Millis grace = m_is_late ? kCapGrace + kLatest : kCapGrace;
+  const Millis grace = m_is_late ? kCapGrace + kMaxLateness : kCapGrace;
   scheduling::Resources highest;
   for (const auto& [identities, until] : m_identities) {
     if (until < Now() - grace) {
@@ -1355,7 +1367,8 @@
   return highest;
 }
 
-// From what runs on the workers, whoever knows of it.
+// Compares the cap with what runs on the workers, whether or not a leader knows
+// of it.
 void World::CheckCap(const StartOrder& order) {
   const std::string& organisation =
       m_ledger.FindJob(order.task.job)->organisation;
@@ -1367,8 +1380,9 @@
   for (const auto& [id, worker] : m_workers) {
     for (const auto& [task, run] : worker->runs()) {
       const scheduling::Job* job = m_ledger.FindJob(task.job);
-      const bool is_its = job != nullptr && job->organisation == organisation;
-      in_use += is_its ? run.need.millicores : 0;
+      const bool is_of_organisation =
+          job != nullptr && job->organisation == organisation;
+      in_use += is_of_organisation ? run.need.millicores : 0;
     }
   }
   if (in_use > cap.millicores) {
