--- a/packages/scheduling/include/laurelhall/scheduling/codec.h
+++ b/packages/scheduling/include/laurelhall/scheduling/codec.h
@@ -14,18 +14,19 @@
 
 #include "laurelhall/base/time.h"
 
-// A compact text form of records: whole numbers and a space, texts behind their
-// length. A struct takes part by a Visit(archive, value) beside it, which
-// serves both ways. Boost.JSON costs about ten times the processor time for a
-// task's start, which each control host pays.
+// A compact text encoding of records: an integer is followed by a space, a
+// string is preceded by its length and a colon. A struct is supported by a
+// function Visit(archive, value) in its namespace, which serves both
+// directions. Boost.JSON takes about ten times the processor time for the start
+// of a task, and every control host bears it.
 namespace laurelhall::scheduling {
 
-/// A text that the encoder did not make.
+/// Thrown for a text that is not an output of the encoder.
 class CodecError : public std::invalid_argument {
   using std::invalid_argument::invalid_argument;
 };
 
-/// Writes values one after the other. Not thread-safe.
+/// Encodes a sequence of values. Not thread-safe.
 class Encoder {
  public:
   template <typename... Values>
@@ -33,13 +34,14 @@
     (Write(values), ...);
   }
 
-  /// Fields that stand at the end of a text, and that earlier versions did not
-  /// write.
+  /// Writes fields at the end of a text that earlier versions did not write;
+  /// see Decoder::Later().
   template <typename... Values>
   void Later(Values&... values) {
     (Write(values), ...);
   }
 
+  /// Moves the encoded text out.
   std::string Take() { return std::move(m_text); }
 
  private:
@@ -48,7 +50,8 @@
     if constexpr (std::is_enum_v<T> || std::is_integral_v<T>) {
       WriteNumber(static_cast<int64_t>(value));
     } else if constexpr (std::is_floating_point_v<T>) {
-      // Thousandths are as fine as a stretch or a share is stated.
+      // Fixed point with three decimals, the precision in which stretches and
+      // shares are configured.
       WriteNumber(
           static_cast<int64_t>(value * 1000 + (value < 0 ? -0.5 : 0.5)));
     } else {
@@ -101,9 +104,9 @@
   std::string m_text;
 };
 
-/// Reads what an Encoder wrote, in the same order. Not thread-safe.
+/// Decodes the output of an Encoder, in the same order. Not thread-safe.
 ///
-/// @throws CodecError on a text that is cut or of another form.
+/// @throws CodecError on a text that is truncated or malformed.
 class Decoder {
  public:
   explicit Decoder(std::string_view text) : m_text(text) {}
@@ -113,7 +116,8 @@
     (Read(values), ...);
   }
 
-  /// Leaves the values as they are where the text ends before them.
+  /// Reads fields at the end of a text. Leaves the values unchanged if the text
+  /// ends before them.
   template <typename... Values>
   void Later(Values&... values) {
     if (!is_at_end()) {
@@ -145,7 +149,7 @@
   void Read(std::string& value) {
     const auto size = static_cast<uint64_t>(ReadNumber(':'));
     if (size > m_text.size()) {
-      throw CodecError("a text is cut");
+      throw CodecError("truncated string");
     }
     value.assign(m_text.substr(0, size));
     m_text.remove_prefix(size);
@@ -155,7 +159,7 @@
   void Read(std::vector<T>& values) {
     const auto size = static_cast<uint64_t>(ReadNumber(' '));
     if (size > m_text.size()) {
-      throw CodecError("a list is cut");
+      throw CodecError("truncated list");
     }
     values.resize(size);
     for (T& value : values) {
@@ -175,7 +179,7 @@
   void Read(std::variant<Kinds...>& value) {
     const auto kind = static_cast<uint64_t>(ReadNumber(' '));
     if (!ReadKind(kind, value, std::index_sequence_for<Kinds...>())) {
-      throw CodecError("unknown kind of record " + std::to_string(kind));
+      throw CodecError("unknown record kind " + std::to_string(kind));
     }
   }
 
@@ -208,14 +212,16 @@
   return encoder.Take();
 }
 
-/// Decodes a whole text as one value; throws CodecError. Thread-safe.
+/// Decodes a whole text as one value. Thread-safe.
+///
+/// @throws CodecError on a malformed text or on trailing data.
 template <typename T>
 T Decode(std::string_view text) {
   T value{};
   Decoder decoder(text);
   decoder(value);
   if (!decoder.is_at_end()) {
-    throw CodecError("more follows a record");
+    throw CodecError("trailing data after a value");
   }
   return value;
 }
--- a/packages/scheduling/include/laurelhall/scheduling/crash.h
+++ b/packages/scheduling/include/laurelhall/scheduling/crash.h
@@ -4,71 +4,75 @@
 
 #include "laurelhall/scheduling/record.h"
 
-// Which task is to blame for a worker that went down. A crash has one culprit
-// and many bystanders; a rack or a site that is lost has no culprit. A worker
-// that goes down with one task alone convicts it, so suspects are started where
-// nothing else runs until they have been seen at work.
+// Determines which task made a worker crash. A crash has one cause, while many
+// unrelated tasks may run on the worker; the loss of a rack or a site is not
+// caused by a task. When a worker crashes with a single task on it, that task
+// is the cause. Suspects are therefore started on workers without other runs,
+// until they have been observed running.
 namespace laurelhall::scheduling {
 
-/// A run that went down with its worker, as its leader saw it.
+/// A run that was lost with its worker, as observed by the leader.
 struct LostRun {
   TaskId task;
   bool may_have_started = true;
-  Millis seen_at_work{0};       ///< Zero: its worker never listed it.
-  Millis lived{Millis::max()};  ///< From its start to the loss, at most.
-  bool has_started = false;     ///< Its worker said so.
+  /// Run time that was observed. Zero: its worker never listed it.
+  Millis seen_at_work{0};
+  /// Upper bound of the time from its start to the loss.
+  Millis lived{Millis::max()};
+  bool has_started = false;  ///< Its worker confirmed the start.
   bool is_persistent = false;
-  bool is_proven = false;  ///< Had worked for long, whoever saw it.
+  bool is_proven = false;  ///< See ActiveRun; also by an earlier leader.
 };
 
-/// A task under which so many workers went down is given up, whatever else was
-/// there: each more start would cost another one.
+/// A task is given up after so many workers crashed while it ran, even if other
+/// tasks ran there too: each further start might cost another worker.
 constexpr size_t kMostCrashes = 5;
 
-/// From then on a run no longer keeps other tasks off its worker.
+/// A run of a suspect that has been observed for this long no longer keeps
+/// other tasks off its worker.
 constexpr Millis kSeenAtWork{300};
 
-/// A run that has worked for so long does not crash the workers that start it.
+/// A run that has been observed for this long is not a cause of crashes.
 constexpr Millis kWorksWell{5'000};
 
-/// What else was lost with a worker.
+/// What was lost together with a worker.
 enum class LossScope : uint8_t {
   kWorker,
-  kSeveral,  ///< Others at the same moment: it may not be its tasks' fault.
-  kRack,     ///< All of its rack.
-  kUnknown,  ///< It was lost before its leader began to lead.
+  kSeveral,  ///< Other workers too: its tasks may not be the cause.
+  kRack,     ///< Its whole rack.
+  kUnknown,  ///< It was lost before the current leader took over.
   kCount,
 };
 
-/// A lower-case word for logs. Thread-safe.
+/// Lower-case name for logs. Thread-safe.
 const char* LossScopeName(LossScope scope);
 
-/// What a worker's end says of each run that may have started there.
-/// Thread-safe.
+/// Assesses each run that may have started on a crashed worker. Thread-safe.
 std::vector<CrashSuspect> JudgeCrash(const std::vector<LostRun>& runs,
                                      LossScope scope);
 
-/// How much a crash speaks against a task. Thread-safe.
+/// The score that a crash adds to Task::blame. Thread-safe.
 uint32_t BlameOf(Suspicion suspicion);
 
-/// Whether a task is given up after so many workers went down under it.
+/// Whether a task is to be given up. Thread-safe.
 ///
-/// @param blame Of all of these together.
-/// @param last Of the last one.
-/// @param is_persistent One that lasts is given up by their number alone: its
-///   users lose it for good. Thread-safe.
+/// @param crashes Number of workers that crashed while it ran.
+/// @param blame Sum of BlameOf() over these crashes.
+/// @param last Suspicion of the last crash.
+/// @param is_persistent A persistent task is given up by the number of crashes
+///   only, because its users lose it for good.
 bool IsGivenUp(size_t crashes,
                uint32_t blame,
                Suspicion last,
                bool is_persistent);
 
-/// When a worker was lost: after the one time, before the other.
+/// The interval in which a worker was lost.
 struct LossTime {
   SteadyTime alive_until{};
   SteadyTime lost_by{};
 };
 
-/// Whether all of these may have been lost at one moment. Thread-safe.
+/// Whether all losses may have happened at the same time. Thread-safe.
 bool MayBeOneMoment(const std::vector<LossTime>& losses);
 
 }  // namespace laurelhall::scheduling
--- a/packages/scheduling/include/laurelhall/scheduling/graph.h
+++ b/packages/scheduling/include/laurelhall/scheduling/graph.h
@@ -7,11 +7,11 @@
 
 #include "laurelhall/base/time.h"
 
-// Jobs as graphs of tasks, the queues that take them and the workers that run
-// them: plain values.
+// Value types for jobs (graphs of tasks), the queues that accept them and the
+// workers that run them.
 namespace laurelhall::scheduling {
 
-/// What a task asks for, or a worker has.
+/// Resources that a task requires or that a worker provides.
 struct Resources {
   int64_t millicores = 0;
   int64_t memory_mb = 0;
@@ -20,99 +20,114 @@
   friend bool operator==(const Resources&, const Resources&) = default;
 };
 
-/// Whether `need` fits into `room`. Thread-safe.
-bool Fits(const Resources& need, const Resources& room);
+/// Whether `need` is at most `available` in every resource. Thread-safe.
+bool Fits(const Resources& need, const Resources& available);
 
-/// Adds in place. Thread-safe for distinct values.
+/// Adds `part` to `sum`. Thread-safe for distinct values.
 void Add(Resources& sum, const Resources& part);
 
-/// Subtracts in place. Thread-safe for distinct values.
+/// Subtracts `part` from `sum`. Thread-safe for distinct values.
 void Subtract(Resources& sum, const Resources& part);
 
-/// One step of a job: a number of like tasks.
+/// One step of a job: a number of identical tasks.
 struct StepSpec {
   uint32_t count = 0;
   Resources need;
-  Millis estimate{0};  ///< Of one task's run time; may be far off.
-  std::vector<uint32_t> depends_on;  ///< Earlier steps that must be done.
-  bool is_gang = false;              ///< Works only while all of its tasks run.
-  bool is_same_rack = false;         ///< Slower when spread over racks.
+  Millis estimate{0};  ///< Estimated run time of one task; may be far off.
+  std::vector<uint32_t>
+      depends_on;        ///< Indices of steps that must finish first.
+  bool is_gang = false;  ///< Makes progress only while all of its tasks run.
+  bool is_same_rack = false;  ///< Runs slower when spread over several racks.
   bool is_checkpointing = false;
-  bool is_speculative = false;  ///< Copies may run; the first end counts.
-  bool is_persistent = false;   ///< Runs until the job is cancelled.
-  /// Uses what other tasks leave: not counted against a worker's processors.
+  /// Several copies of a task may run; the first one that finishes counts.
+  bool is_speculative = false;
+  bool is_persistent = false;  ///< Runs until the job is cancelled.
+  /// Best effort: runs on processor time that other tasks leave unused, and is
+  /// not counted against a worker's processors.
   bool is_filling = false;
   std::string required_label;
-  std::string data_rack;      ///< Faster on this rack; empty: no matter.
-  uint32_t spread_limit = 0;  ///< Most tasks of it on one worker; 0: any.
-  std::string image;          ///< Tasks of one image behave alike.
-  Millis target_tail{0};      ///< Bound of a serving task's tail; 0: none.
-  uint32_t may_miss = 0;      ///< Tasks that may be away by our own acts.
+  /// Rack that holds the input data: tasks run faster there. Empty: any rack.
+  std::string data_rack;
+  /// Maximum number of tasks of this step on one worker. 0: no limit.
+  uint32_t spread_limit = 0;
+  std::string image;  ///< Tasks of the same image behave alike.
+  /// Upper bound on the tail latency of a serving task. 0: none.
+  Millis target_tail{0};
+  /// Tasks of a persistent step that actions of the scheduler itself may have
+  /// down at the same time. 0: no limit.
+  uint32_t may_miss = 0;
 };
 
-/// A job as a caller hands it in.
+/// A job as submitted by a caller.
 struct JobSpec {
-  std::string payload;  ///< Handed to each task as it is.
+  std::string payload;  ///< Passed to each task unchanged.
   std::vector<StepSpec> steps;
-  uint32_t occurrences = 1;  ///< How often all steps run.
-  bool is_timed = false;     ///< Occurrences have due times.
-  WallTime first_due{};
-  Millis interval{0};
+  uint32_t occurrences = 1;  ///< How many times all steps run.
+  bool is_timed = false;     ///< Each occurrence has a due time.
+  WallTime first_due{};      ///< Due time of the first occurrence.
+  Millis interval{0};        ///< Between the due times of two occurrences.
 };
 
-/// A queue of jobs and the service whose workers run them.
+/// A job queue and the service whose workers run its jobs.
 struct QueueSpec {
   std::string name;
-  std::string host;    ///< Of the requests that reach it.
-  std::string prefix;  ///< Of their paths.
+  std::string host;    ///< Host name of requests that are routed to it.
+  std::string prefix;  ///< Path prefix of these requests.
   std::string service;
-  int32_t priority = 0;  ///< 0 goes first.
+  int32_t priority = 0;  ///< 0 is the highest.
   uint32_t max_attempts = 1;
-  double stretch = 1;  ///< On time: within so many times the chain of work...
-  Millis target_latency{0};  ///< ...and this.
+  /// A job is on time when it ends within `stretch` times the expected run time
+  /// of all of its steps in sequence, plus `target_latency`.
+  double stretch = 1;
+  Millis target_latency{0};
 };
 
-/// A service: a pool of hosts, one worker each.
+/// A service: a pool of hosts with one worker each.
 struct ServiceSpec {
   std::string name;
-  bool is_guarded = false;  ///< Its workers refuse what does not fit.
-  bool is_spare = false;    ///< Its hosts are off.
+  bool is_guarded = false;  ///< Its workers reject tasks that do not fit.
+  bool is_spare = false;    ///< Reserve pool: its hosts are powered off.
 };
 
-/// An organisation that hands jobs in, and what it may have of the workers.
+/// An organisation that submits jobs, and its share of the workers.
 struct OrganisationSpec {
   std::string name;
-  std::vector<std::string>
-      keys;           ///< By fingerprint, never the keys themselves.
-  double weight = 0;  ///< Its share when all is full, and its jobs a second.
-  Resources cap;      ///< Of all that it runs; zero: no limit.
+  /// Fingerprints of its API keys, never the keys themselves.
+  std::vector<std::string> keys;
+  /// Its share of the workers when demand exceeds capacity, and the number of
+  /// jobs per second that it is guaranteed.
+  double weight = 0;
+  /// Limit on the sum of its active runs, by resource. Zero: no limit.
+  Resources cap;
 };
 
-/// Whose jobs queues take.
+/// Organisations and their access to the queues.
 struct IdentitySpec {
   std::vector<OrganisationSpec> organisations;
-  std::vector<std::string> open_queues;  ///< Need no key; by name.
+  /// Names of the queues that accept jobs without a key.
+  std::vector<std::string> open_queues;
 };
 
-/// A configuration in force.
+/// A version of the scheduling configuration.
 struct Configuration {
   uint64_t version = 0;
-  std::string document;  ///< As it was sent, for reading back.
+  std::string document;  ///< The text as submitted, returned to readers.
   std::vector<QueueSpec> queues;
   std::vector<ServiceSpec> services;
-  std::optional<IdentitySpec> identities;  ///< None: all queues are open.
+  /// Without it, no queue requires a key.
+  std::optional<IdentitySpec> identities;
 };
 
-/// The queue of a request: same host, longest prefix of the path.
+/// Finds the queue of a request: same host, longest matching path prefix.
 ///
-/// @returns Null when there is none. Thread-safe.
+/// @returns Null when no queue matches. Thread-safe.
 const QueueSpec* FindQueue(const Configuration& configuration,
                            const std::string& host,
                            const std::string& path);
 
-/// A worker: one life of a host's endpoint that runs tasks.
+/// A worker: one incarnation of an endpoint on a host that runs tasks.
 struct WorkerInfo {
-  std::string id;       ///< A later life may have the same.
+  std::string id;       ///< A later incarnation may reuse it.
   std::string address;  ///< "ip:port".
   std::string service;
   std::string availability_zone;
@@ -125,7 +140,7 @@
   friend bool operator==(const WorkerInfo&, const WorkerInfo&) = default;
 };
 
-/// Names one task of one job.
+/// Identifies one task of a job.
 struct TaskId {
   std::string job;
   uint32_t occurrence = 0;
@@ -136,14 +151,14 @@
   friend auto operator<=>(const TaskId&, const TaskId&) = default;
 };
 
-/// "JOB.OCCURRENCE.STEP.INDEX". Thread-safe.
+/// Formats as "JOB.OCCURRENCE.STEP.INDEX". Thread-safe.
 std::string FormatTaskId(const TaskId& task);
 
-/// Reads FormatTaskId()'s text; none for anything else. Thread-safe.
+/// Parses the output of FormatTaskId(); none for any other text. Thread-safe.
 std::optional<TaskId> ParseTaskId(const std::string& text);
 
 enum class JobState : uint8_t {
-  kQueued,  ///< Nothing of it was started yet.
+  kQueued,  ///< No task has been started yet.
   kRunning,
   kSucceeded,
   kFailed,
@@ -151,21 +166,21 @@
   kCount,
 };
 
-/// A lower-case word for logs. Thread-safe.
+/// Lower-case name for logs. Thread-safe.
 const char* JobStateName(JobState state);
 
 /// How a run ended.
 enum class RunEnd : uint8_t {
   kDone,
-  kFailed,   ///< By its own fault or the worker's.
-  kStopped,  ///< As it was told.
-  kLapsed,   ///< Its lease ran out, or its worker is gone.
-  kBroken,   ///< Another member of its gang ended.
-  kAlone,    ///< Its gang was not complete in time.
+  kFailed,          ///< Through a fault of the task or of the worker.
+  kStopped,         ///< On request.
+  kLapsed,          ///< Its lease expired, or its worker is gone.
+  kGangBroken,      ///< Another member of its gang ended.
+  kGangIncomplete,  ///< Not all members of its gang started in time.
   kCount,
 };
 
-/// A lower-case word for logs. Thread-safe.
+/// Lower-case name for logs. Thread-safe.
 const char* RunEndName(RunEnd end);
 
 }  // namespace laurelhall::scheduling
--- a/packages/scheduling/include/laurelhall/scheduling/ledger.h
+++ b/packages/scheduling/include/laurelhall/scheduling/ledger.h
@@ -15,39 +15,40 @@
 
 namespace laurelhall::scheduling {
 
-/// A run that was started and whose end is not known.
+/// A run that was started and whose end is not committed yet.
 struct ActiveRun {
   uint32_t run = 0;
   std::string worker;
-  bool is_outlived = false;  ///< Its worker has begun a new life since.
-  bool is_proven = false;    ///< Has worked too long to crash its worker.
-  bool is_judged = false;    ///< What its worker's end says of it is counted.
+  bool is_outlived = false;  ///< Started on an earlier incarnation.
+  bool is_proven = false;    ///< Active for too long to be a crash's cause.
+  bool is_assessed = false;  ///< The crash of its worker is already counted.
 };
 
-/// One task of one occurrence.
+/// The state of one task of an occurrence.
 struct Task {
   bool is_done = false;
-  bool is_hot = false;  ///< Started at least once.
+  bool was_started = false;  ///< At least one run was started.
   uint32_t last_run = 0;
-  uint32_t failures = 0;   ///< Ends by its own fault or a worker's.
+  uint32_t failures = 0;   ///< Number of runs that ended with kFailed.
   std::string failed_on;   ///< The worker of the last failure.
-  std::string checkpoint;  ///< Where the next run goes on; may be empty.
+  std::string checkpoint;  ///< The next run resumes from it; may be empty.
   std::vector<ActiveRun> active;
-  std::vector<std::string> crashed;  ///< Workers that went down under it.
-  uint32_t blame = 0;                ///< For all of them; see crash.h.
-  /// Workers whose lease ran out under it, and that may have gone down.
-  uint32_t open_lapses = 0;
-  bool is_given_up = false;  ///< Is not started again; its job goes on.
-
-  /// Whether it is to start where nothing else runs.
+  std::vector<std::string> crashed;  ///< Workers that crashed while it ran.
+  uint32_t blame = 0;                ///< Sum over these crashes; see crash.h.
+  /// Number of workers whose lease expired while it ran there, and of which it
+  /// is not known yet whether they crashed.
+  uint32_t unresolved_lapses = 0;
+  bool is_given_up = false;  ///< Is not started again; its job may go on.
+
+  /// Whether it is to be started on a worker without other runs.
   bool IsSuspect() const;
 
-  /// Whether so many workers may have gone down under it that nothing else may
-  /// be there until it has ended.
+  /// Whether so many workers may have crashed while it ran that it must have a
+  /// worker to itself until it ends.
   bool IsIsolated() const;
 
-  /// Whether so many workers may have gone down under it that it must not start
-  /// before more is known of them.
+  /// Whether so many workers may have crashed while it ran that it must not be
+  /// started before the outcome of the unresolved ones is known.
   bool IsHeldBack() const;
 };
 
@@ -56,53 +57,60 @@
   std::string id;
   std::string queue;
   std::string service;
-  std::string organisation;  ///< Empty: nobody's.
-  bool is_excess = false;    ///< Beyond what its organisation is promised.
+  std::string organisation;  ///< Empty: submitted to an open queue.
+  bool is_excess = false;    ///< Above the organisation's guaranteed job rate.
   WallTime accepted_at{};
   JobSpec spec;
   JobState state = JobState::kQueued;
-  std::vector<Task> tasks;  ///< By occurrence, step and index.
+  std::vector<Task> tasks;  ///< Ordered by occurrence, step and index.
 
-  /// Workers went down, or may have, under some task: there may be suspects.
+  /// Workers crashed, or may have, while some of its tasks ran: IsSuspect() may
+  /// hold for these tasks.
   bool has_crashes = false;
-  uint32_t tasks_left = 0;  ///< Not done.
+  uint32_t tasks_left = 0;  ///< Number of tasks that are not done.
   uint32_t active_runs = 0;
-  std::vector<uint32_t> step_left;    ///< Not done, by occurrence and step.
-  std::vector<uint32_t> step_offset;  ///< Of each step in an occurrence.
-  uint32_t occurrence_size = 0;
+  /// Number of tasks that are not done, by occurrence and step.
+  std::vector<uint32_t> step_left;
+  /// Index of the first task of each step within an occurrence.
+  std::vector<uint32_t> step_offset;
+  uint32_t occurrence_size = 0;  ///< Number of tasks in an occurrence.
 
   bool is_over() const { return state >= JobState::kSucceeded; }
-  bool is_standing() const;  ///< Whether some of its tasks last.
+  bool is_standing() const;  ///< Whether it has persistent tasks.
   size_t IndexOf(const TaskId& task) const;
   TaskId IdOf(size_t index) const;
   const StepSpec& StepOf(size_t index) const;
-  /// Whether all that a step waits for in its occurrence is done.
+  /// Whether all steps that a step depends on are done in its occurrence.
   bool IsStepOpen(uint32_t occurrence, uint32_t step) const;
-  /// Whether an id names a task of this job.
+  /// Whether the id belongs to a task of this job.
   bool Holds(const TaskId& task) const;
 };
 
-/// A worker and what runs on it as far as is committed.
+/// A worker and its committed runs.
 struct Worker {
   WorkerInfo info;
-  uint64_t sequence = 0;  ///< Of the word that `info` is from; 0: not told.
-  WallTime born{};        ///< Of the life that is known; zero: not told.
-  uint32_t earlier_lives = 0;  ///< Known to have been under this id.
-  Resources used;  ///< By active runs; filling tasks count no processors.
+  /// Sequence number of the announcement that set `info`. 0: not reported.
+  uint64_t sequence = 0;
+  /// Start time of the current incarnation. Zero: not reported.
+  WallTime born{};
+  uint32_t earlier_lives = 0;  ///< Known earlier incarnations under this id.
+  /// Resources of active runs; best-effort tasks count without processors.
+  Resources used;
   std::set<TaskId> active;
-  std::set<TaskId> suspects;  ///< Of `active`: were suspect when they started.
-  /// What its lease ran out on, until it is given work again: all that went
-  /// down with it if it does not come back.
+  /// Those of `active` for which Task::IsSuspect() held when they started.
+  std::set<TaskId> suspects;
+  /// Tasks that ran when its lease expired, until it is given work again. If
+  /// the worker turns out to have crashed, these were running.
   std::set<TaskId> lapsed;
-  /// It has begun a new life, and what that says of the runs before is not
-  /// committed yet.
+  /// It has restarted, and the assessment of the runs of its previous
+  /// incarnation is not committed yet.
   bool is_unjudged = false;
   uint32_t persistent_runs = 0;
-  /// Of `used`, what persistent tasks take.
+  /// The part of `used.millicores` that persistent tasks take.
   int64_t persistent_millicores = 0;
 };
 
-/// A wave and how far each of its hosts is.
+/// A wave and the stage of each of its hosts.
 struct WaveState {
   WaveOpened opened;
   std::map<std::string, WaveStage> hosts;
@@ -110,19 +118,20 @@
   bool is_done() const;
 };
 
-/// All that is committed about jobs, workers and waves.
+/// The state machine of the scheduling: all committed jobs, workers and waves.
 ///
-/// @remarks Not thread-safe. The same records in the same order make the same
-///   ledger on each control host; applying one reads no clock.
+/// @remarks Not thread-safe. Deterministic: the same records in the same order
+///   produce the same ledger on every control host; Apply() reads no clock.
 class Ledger {
  public:
-  // By id, in no order: each start and end finds its job and worker some twenty
-  // times, which took a sixth of a leader's time in ordered maps.
+  // By id. Hash maps, because each start and end of a run looks up its job and
+  // worker about twenty times: in ordered maps, these lookups took a sixth of
+  // the leader's processor time.
   using Jobs = std::unordered_map<std::string, Job>;
   using Workers = std::unordered_map<std::string, Worker>;
 
-  /// Applies a record. One that does not fit what is there (a job known
-  /// already, an end of a run that is not active) has no effect.
+  /// Applies a record. A record that does not apply to the current state (a job
+  /// that is already known, the end of a run that is not active) has no effect.
   void Apply(const Record& record);
 
   const Configuration& configuration() const { return m_configuration; }
@@ -131,135 +140,149 @@
   const Workers& workers() const { return m_workers; }
   const std::map<uint64_t, WaveState>& waves() const { return m_waves; }
 
-  /// Ids of jobs that are not over, or of which a run is active.
-  const std::set<std::string>& open_jobs() const { return m_open; }
+  /// Ids of jobs that are not over or that still have active runs.
+  const std::set<std::string>& open_jobs() const { return m_open_jobs; }
 
-  /// How many jobs of a queue wait for their first start.
+  /// Number of jobs of a queue of which no task was started yet.
   size_t CountQueued(const std::string& queue) const;
 
-  /// Rises with each change of what workers there are and say of themselves,
-  /// so that what follows from them is worked out again only then.
+  /// Increases whenever a worker is added or removed or its information
+  /// changes, so that callers can cache values that they derive from workers.
   uint64_t workers_version() const { return m_workers_version; }
 
-  /// Visits the ids of all workers that changed, came or went since a version,
-  /// in order; one may come several times.
+  /// Visits the ids of all workers that were added, changed or removed since a
+  /// version, oldest change first. An id may be visited several times.
   ///
-  /// @returns False, with none visited, when that is too long ago to tell.
+  /// @returns False, without visiting any, when the changes since then are no
+  ///   longer recorded.
   bool VisitChangedWorkers(
       uint64_t since,
       const std::function<void(const std::string&)>& visit) const;
 
-  /// Ids of the workers on a host: one, or several lives until the older ones
-  /// are known to be over. None for an empty name.
+  /// Ids of the workers on a host: one, or several until the older ones are
+  /// known to have ended. None for an empty name.
   const std::set<std::string>& WorkersOn(const std::string& host) const;
 
   const Job* FindJob(const std::string& id) const;
   const Worker* FindWorker(const std::string& id) const;
   const QueueSpec* FindQueueByName(const std::string& name) const;
 
-  /// What the active runs of an organisation's jobs take, the processors of
-  /// filling tasks included.
+  /// Resources of the active runs of an organisation, including the processors
+  /// of best-effort tasks.
   Resources InUseBy(const std::string& organisation) const;
 
-  /// As InUseBy(), of all that had runs since this ledger began.
+  /// Same as InUseBy(), for all organisations that had runs since this ledger
+  /// was created or loaded.
   const std::unordered_map<std::string, Resources>& in_use() const {
     return m_in_use;
   }
 
-  /// Whether an organisation may start one more such task.
+  /// Whether an organisation may start another task within its cap.
   ///
-  /// @param planned What else of it is about to start.
+  /// @param planned Resources of its runs that are about to start.
+  /// @param need Resources of the task.
   bool IsWithinCapOf(const std::string& organisation,
                      const Resources& planned,
                      const Resources& need) const;
 
-  /// Whether a run was started on a worker and has not ended.
+  /// Whether the run was started on the worker and has not ended.
   bool IsActive(const TaskId& task,
                 uint32_t run,
                 const std::string& worker) const;
 
-  /// Whether a word of a worker is older than what is known of it.
+  /// Whether an announcement of a worker is older than the last one applied.
   bool IsOutdated(const std::string& worker,
                   WallTime born,
                   uint64_t sequence) const;
 
-  /// Whether a worker's life is known to have ended; any life for no birth.
+  /// Whether an incarnation of a worker is known to have ended. Without `born`:
+  /// whether any is.
   bool IsGone(const std::string& worker, WallTime born = {}) const;
 
-  /// The service whose workers run a job's tasks now.
+  /// The service whose workers run the job under the current configuration.
   const std::string& ServiceOf(const Job& job) const;
 
-  /// Writes all of it; Load() of an empty ledger makes the same one.
+  /// Encodes the whole ledger as a snapshot, from which Load() restores it.
   std::string Save() const;
 
-  /// @throws CodecError on a text that Save() did not make.
+  /// Replaces the ledger by a snapshot, also one of an earlier version.
+  ///
+  /// @throws CodecError on a text that is not an output of Save().
   void Load(std::string_view text);
 
  private:
-  void Run(const ConfigurationSet& record);
-  void Run(const JobAccepted& record);
-  void Run(const JobCancelled& record);
-  void Run(const JobsForgotten& record);
-  void Run(const RunStarted& record);
-  void Run(const RunEnded& record);
-  void Run(const WorkerSeen& record);
-  void Run(const WorkerLapsed& record);
-  void Run(const WorkerGone& record);
-  void Run(const WaveOpened& record);
-  void Run(const WaveHostSet& record);
-  void Run(const WorkerCrashed& record);
-  void Run(const WorkerTold& record);
-  void Run(const WorkerReborn& record);
-  void Run(const LifeEnded& record);
-  void Run(const ConfigurationAdopted& record);
-  void Run(const JobTaken& record);
-  void Run(const RunProven& record);
-  void Run(const WorkerLeft& record);
-  void BeginLife(const std::string& id, Worker& worker, WallTime born);
-  void Remember(const std::string& worker, WallTime born);
-
-  void Occupy(Worker& worker, const Job& job, size_t index);
-  static void Vacate(Worker& worker, const TaskId& task, const StepSpec& step);
+  void ApplyRecord(const ConfigurationSet& record);
+  void ApplyRecord(const JobAccepted& record);
+  void ApplyRecord(const JobCancelled& record);
+  void ApplyRecord(const JobsForgotten& record);
+  void ApplyRecord(const RunStarted& record);
+  void ApplyRecord(const RunEnded& record);
+  void ApplyRecord(const WorkerSeen& record);
+  void ApplyRecord(const WorkerLapsed& record);
+  void ApplyRecord(const WorkerGone& record);
+  void ApplyRecord(const WaveOpened& record);
+  void ApplyRecord(const WaveHostSet& record);
+  void ApplyRecord(const WorkerCrashed& record);
+  void ApplyRecord(const WorkerTold& record);
+  void ApplyRecord(const WorkerReborn& record);
+  void ApplyRecord(const LifeEnded& record);
+  void ApplyRecord(const ConfigurationAdopted& record);
+  void ApplyRecord(const JobTaken& record);
+  void ApplyRecord(const RunProven& record);
+  void ApplyRecord(const WorkerLeft& record);
+  void BeginIncarnation(const std::string& id, Worker& worker, WallTime born);
+  void AddEndedWorker(const std::string& worker, WallTime born);
+
+  void ReserveResources(Worker& worker, const Job& job, size_t index);
+  static void ReleaseResources(Worker& worker,
+                               const TaskId& task,
+                               const StepSpec& step);
   void EndRun(Job& job, size_t index, const RunEnded& record);
   void FinishTask(Job& job, size_t index);
-  void CloseLapses(Worker& worker);
+  void ClearLapses(Worker& worker);
   void CountFailure(Job& job, size_t index, const std::string& worker);
-  void GiveUp(Job& job, size_t index);
+  void GiveUpTask(Job& job, size_t index);
   void CountCrash(Job& job,
                   size_t index,
                   const std::string& worker,
                   Suspicion suspicion);
-  void CountUnjudged(const std::string& id, const Worker& worker);
-  void EndLife(const std::string& id, WallTime born, bool may_have_crashed);
+  void CountUnassessedRuns(const std::string& id, const Worker& worker);
+  void EndIncarnation(const std::string& id,
+                      WallTime born,
+                      bool may_have_crashed);
   void SetState(Job& job, JobState state);
-  void FollowQueued(const Job& job);
-  void FollowOpen(const Job& job);
-  void Configure(Configuration configuration);
-  void Adopt(const Configuration& configuration);
-  /// Null when the job is known already.
-  Job* Accept(const JobAccepted& record);
-  void NoteChange(const std::string& worker);
-  void SetInfo(Worker& worker, const WorkerInfo& info);
-  void LeaveHost(const WorkerInfo& info);
+  void UpdateQueuedJobs(const Job& job);
+  void UpdateOpenJobs(const Job& job);
+  void SetConfiguration(Configuration configuration);
+  void SetIfNewer(const Configuration& configuration);
+  /// @returns Null when the job is already known.
+  Job* AddJob(const JobAccepted& record);
+  void RecordWorkerChange(const std::string& worker);
+  void SetWorkerInfo(Worker& worker, const WorkerInfo& info);
+  void RemoveFromHost(const WorkerInfo& info);
 
   Configuration m_configuration;
-  std::map<std::string, size_t> m_queue_places;  // By name.
+  std::map<std::string, size_t> m_queue_index;  // By name.
   KeyRing m_keys;
   std::unordered_map<std::string, Resources> m_in_use;  // By organisation.
   Jobs m_jobs;
-  std::set<std::string> m_open;
+  std::set<std::string> m_open_jobs;
   std::unordered_map<std::string, std::unordered_set<std::string>>
-      m_queued;  // Ids of jobs that wait for their first start, by queue.
+      m_queued_jobs;  // Ids of jobs in JobState::kQueued, by queue.
   Workers m_workers;
   uint64_t m_workers_version = 0;
-  std::deque<std::string> m_changed_workers;  // One a version, newest last.
-  std::map<std::string, std::set<std::string>> m_workers_on;  // By host.
+  std::deque<std::string>
+      m_changed_workers;  // One id per version, newest last.
+  std::map<std::string, std::set<std::string>> m_workers_by_host;  // By host.
   std::map<uint64_t, WaveState> m_waves;
-  std::unordered_map<std::string, WallTime> m_gone;  // Births, by id.
-  std::deque<std::string> m_gone_order;  // Oldest first, bounds m_gone.
+  std::unordered_map<std::string, WallTime>
+      m_ended_workers;  // Start times by id.
+  std::deque<std::string>
+      m_ended_order;  // Oldest first; to limit m_ended_workers.
 };
 
-/// What a run of the step takes of a worker's room.
+/// Resources that a run of the step takes from its worker's capacity. A
+/// best-effort task takes no processors.
 Resources RoomOf(const StepSpec& step);
 
 }  // namespace laurelhall::scheduling
--- a/packages/scheduling/include/laurelhall/scheduling/log_service.h
+++ b/packages/scheduling/include/laurelhall/scheduling/log_service.h
@@ -9,18 +9,18 @@
 
 namespace laurelhall::scheduling {
 
-/// What came of a batch that was to be committed.
+/// The outcome of a commit.
 enum class CommitOutcome {
-  kCommitted,  ///< Applied here.
-  kRefused,    ///< Surely never committed: this host does not lead.
-  kUnknown,    ///< May or may not be committed by a later leader.
+  kCommitted,  ///< Committed, and applied on this host.
+  kRefused,    ///< Never committed: this host is not the leader.
+  kUnknown,    ///< A later leader may or may not commit it.
   kCount,
 };
 
-/// The replicated log as the scheduling on a control host sees it.
+/// The replicated log, as seen by the scheduling on a control host.
 ///
-/// @remarks Thread-safe. Callbacks come once each, on a thread of the log; they
-///   must not block.
+/// @remarks Thread-safe. Each callback is called once, on a thread of the log,
+///   and must not block.
 class ReplicatedLog {
  public:
   using CommitDone = std::function<void(CommitOutcome)>;
@@ -28,45 +28,48 @@
 
   virtual ~ReplicatedLog() = default;
 
-  /// Commits records in one batch; only while this host leads in `term`, so
-  /// that nothing that was decided in an earlier one is committed in a later.
+  /// Commits records in one batch, only while this host leads in `term`: a
+  /// decision from an earlier term is never committed in a later one.
   virtual void Commit(uint64_t term,
                       std::vector<Record> records,
                       CommitDone done) = 0;
 
-  /// Asks whether this host still leads and the ledger here shows all that was
-  /// committed before the call.
+  /// Checks that this host still leads and that its ledger includes everything
+  /// that was committed before the call.
   virtual void Confirm(ConfirmDone done) = 0;
 
-  /// Reads the ledger as far as it is applied here.
+  /// Reads the ledger in the state that is applied on this host.
   ///
-  /// @param reader Called at once; applying waits for it.
+  /// @param reader Called before Read() returns; no record is applied
+  /// meanwhile.
   virtual void Read(const std::function<void(const Ledger&)>& reader) const = 0;
 };
 
-/// A request of an entry host to the scheduling of the leader.
+/// A request of an entry host to the scheduling on the leader.
 struct LeaderRequest {
   std::string body;  ///< Encoded.
   SteadyTime deadline{};
-  bool is_read = false;  ///< It changes nothing, whoever carries it out.
+  bool is_read = false;  ///< Changes no state on any host.
 };
 
-/// What runs beside the log on each control host.
+/// A service that runs on top of the replicated log on each control host.
 ///
-/// @remarks Called on threads of the log; must not block.
+/// @remarks Its functions are called on threads of the log and must not block.
 class LogService {
  public:
   virtual ~LogService() = default;
 
-  /// Called once before anything else; `log` outlives the service's use.
+  /// Called once, before all other functions. `log` outlives the last call.
   virtual void Attach(ReplicatedLog& log) = 0;
 
-  /// This host leads in a term, and an entry of that term is applied here.
+  /// Called when this host has become leader in `term` and has applied an entry
+  /// of that term.
   virtual void BeginToLead(uint64_t term) = 0;
 
+  /// Called when this host is no longer leader.
   virtual void EndToLead() = 0;
 
-  /// Answers a request of another process, encoded both ways.
+  /// Handles a request of another process. Request and reply are encoded.
   virtual void Handle(std::string request,
                       std::function<void(std::string)> done) = 0;
 };
--- a/packages/scheduling/include/laurelhall/scheduling/organisation.h
+++ b/packages/scheduling/include/laurelhall/scheduling/organisation.h
@@ -7,16 +7,17 @@
 #include "laurelhall/base/time.h"
 #include "laurelhall/scheduling/graph.h"
 
-// Whose a job is, and how much of the workers its organisation may have.
+// Determines the organisation of a job and enforces the limits of
+// organisations.
 namespace laurelhall::scheduling {
 
-/// What a key opens.
+/// The result of an access check.
 struct Access {
   bool is_granted = false;
-  std::string organisation;  ///< Empty: the queue is open to all.
+  std::string organisation;  ///< Empty: the queue requires no key.
 };
 
-/// The keys of one configuration.
+/// The keys of a configuration and the organisations that own them.
 ///
 /// @remarks Immutable; thread-safe.
 class KeyRing {
@@ -24,44 +25,53 @@
   KeyRing() = default;
   explicit KeyRing(const Configuration& configuration);
 
-  /// @param queue By name; one of the configuration.
-  /// @param fingerprint Of the caller's key; empty for none.
+  /// Whether a caller may submit jobs to a queue, and for which organisation.
+  ///
+  /// @param queue Name of a queue of the configuration.
+  /// @param fingerprint Fingerprint of the caller's key; empty for none.
   Access Check(const std::string& queue, const std::string& fingerprint) const;
 
-  /// Null for a name that the configuration does not hold.
+  /// @returns Null when the configuration has no organisation of this name.
   const OrganisationSpec* Find(const std::string& organisation) const;
 
  private:
-  bool m_is_open = true;  // No queue asks for a key.
+  bool m_requires_no_key = true;  // For any queue.
   std::unordered_set<std::string> m_open_queues;
-  std::unordered_map<std::string, std::string> m_owners;  // By fingerprint.
+  std::unordered_map<std::string, std::string>
+      m_organisation_by_key;  // Key fingerprints.
   std::unordered_map<std::string, OrganisationSpec> m_organisations;
 };
 
-/// Whether a task more stays within a cap. A task larger than the whole cap may
-/// run alone: it would wait for ever. Thread-safe.
+/// Whether another task stays within the cap. A task that is larger than the
+/// whole cap may run when nothing else does, because it would wait forever
+/// otherwise. Thread-safe.
+///
+/// @param cap Limit by resource; zero: no limit.
 bool IsWithinCap(const Resources& cap,
                  const Resources& in_use,
                  const Resources& need);
 
-/// Tells which jobs go beyond the rates that organisations are promised.
+/// Detects jobs above the guaranteed job rates of organisations, by a token
+/// bucket per organisation.
 ///
-/// @remarks Not thread-safe; knows nothing of what came before it was made.
+/// @remarks Not thread-safe. Its state is not persistent: every organisation
+///   starts with a full bucket.
 class JobRates {
  public:
-  /// Counts a job of an organisation that is promised `per_second`.
+  /// Counts a job of an organisation with the guaranteed rate
+  /// `jobs_per_second`.
   ///
-  /// @returns Whether it is one too many.
+  /// @returns Whether the job exceeds the rate.
   bool IsExcess(const std::string& organisation,
-                double per_second,
+                double jobs_per_second,
                 SteadyTime now);
 
  private:
-  struct Allowance {
-    double jobs = 0;
-    SteadyTime at{};
+  struct TokenBucket {
+    double tokens = 0;
+    SteadyTime updated_at{};
   };
-  std::unordered_map<std::string, Allowance> m_left;  // By organisation.
+  std::unordered_map<std::string, TokenBucket> m_buckets;  // By organisation.
 };
 
 }  // namespace laurelhall::scheduling
--- a/packages/scheduling/include/laurelhall/scheduling/record.h
+++ b/packages/scheduling/include/laurelhall/scheduling/record.h
@@ -7,20 +7,21 @@
 #include "laurelhall/scheduling/codec.h"
 #include "laurelhall/scheduling/graph.h"
 
-// What the leader commits about jobs, workers and hosts before it acts on it or
-// says so.
+// Records about jobs, workers and hosts. The leader commits them to the
+// replicated log before it acts on them or reports them.
 namespace laurelhall::scheduling {
 
-/// A configuration; takes effect when its version is the highest so far.
+/// Sets the configuration. Has an effect only when its version is higher than
+/// the current one.
 struct ConfigurationSet {
   Configuration configuration;
 };
 
-/// A job is accepted; has no effect when its id is known.
+/// Accepts a job. Has no effect when the id is already known.
 struct JobAccepted {
   std::string id;
   std::string queue;
-  std::string service;  ///< Of the queue, as the leader saw it.
+  std::string service;  ///< Service of the queue at the time of acceptance.
   WallTime at{};
   JobSpec spec;
 };
@@ -29,45 +30,48 @@
   std::string id;
 };
 
-/// Jobs that ended so long ago that nobody asks for them any more.
+/// Removes jobs that ended so long ago that callers no longer query them.
 struct JobsForgotten {
   std::vector<std::string> ids;
 };
 
-/// A task is about to be started; `run` is its next one.
+/// A task is about to be started on a worker; `run` is its next run number.
 struct RunStarted {
   TaskId task;
   uint32_t run = 0;
   std::string worker;
 };
 
-/// A run ended, as its worker said; has no effect when it is not active, but
-/// for the end of one that was done before its lease lapsed.
+/// A run ended, as reported by its worker. Has no effect when the run is not
+/// active, except when the run was done before its lease expired.
 struct RunEnded {
   TaskId task;
   uint32_t run = 0;
   std::string worker;
   RunEnd end = RunEnd::kCount;
-  std::string checkpoint;  ///< The newest that the run made; may be empty.
+  std::string checkpoint;  ///< The latest checkpoint of the run; may be empty.
 };
 
-/// A worker is known, or its facts changed.
+/// A worker was discovered, or its properties changed. Written by earlier
+/// versions; see WorkerTold.
 struct WorkerSeen {
   WorkerInfo info;
 };
 
-/// Nothing that was started on a worker so far runs any more, for its lease
-/// has surely run out. It may come back.
+/// The lease of a worker has certainly expired, so that none of the runs that
+/// were started on it so far is still active. The worker may come back.
 struct WorkerLapsed {
   std::string worker;
 };
 
-/// A worker's life has ended, as earlier versions wrote it: any under this id.
+/// A worker has ended, whichever incarnation. Written by earlier versions; see
+/// LifeEnded.
 struct WorkerGone {
   std::string worker;
 };
 
-/// Hosts that must each be maintained once until `due`, few at once.
+/// Opens a wave: each of the hosts is to be maintained once, at most
+/// `most_at_once` at the same time.
 struct WaveOpened {
   uint64_t wave = 0;
   std::vector<std::string> hosts;
@@ -76,89 +80,96 @@
   WallTime at{};
 };
 
-/// How far a wave is with one host.
+/// The progress of a wave on one host.
 enum class WaveStage : uint8_t { kWaiting, kOrdered, kDone, kCount };
 
+/// Advances the stage of a host in a wave; a stage never goes back.
 struct WaveHostSet {
   uint64_t wave = 0;
   std::string host;
   WaveStage stage = WaveStage::kWaiting;
 };
 
-/// What the end of its worker says of a task that ran there.
+/// How likely it is that a task made the worker crash that it ran on. From
+/// kBystander on, in ascending order, except kExcused.
 enum class Suspicion : uint8_t {
-  kCleared,  ///< It had worked well for long: earlier crashes count no more.
-  kBystander,
+  kCleared,    ///< It had run for long: its earlier crashes are dropped.
+  kBystander,  ///< Counts as a crash, without blame.
   kSuspect,
-  kSole,     ///< Nothing else was there.
-  kPrompt,   ///< As kSole, and the worker went down as soon as it had started.
-  kExcused,  ///< Something else ended it: counts for nothing.
+  kSole,     ///< No other run was on the worker.
+  kPrompt,   ///< The only new run, and the crash followed right on its start.
+  kExcused,  ///< The loss has another cause: not counted as a crash.
   kCount,
 };
 
-/// A lower-case word for logs. Thread-safe.
+/// Lower-case name for logs. Thread-safe.
 const char* SuspicionName(Suspicion suspicion);
 
+/// A task that ran on a crashed worker.
 struct CrashSuspect {
   TaskId task;
   Suspicion suspicion = Suspicion::kBystander;
 };
 
-/// A worker went down without a word, with these tasks at work; one that has
-/// crashed too many is given up with its job. Its runs end by other records.
+/// A worker crashed while these tasks ran on it. A task that has crashed too
+/// many workers is given up together with its job. The runs themselves end by
+/// other records.
 struct WorkerCrashed {
   std::string worker;
   std::vector<CrashSuspect> suspects;
 };
 
-/// As WorkerSeen, with the birth of the life that tells it and the number of
-/// its word: of two that overtook each other on their way, the later one holds.
+/// Like WorkerSeen, with the start time of the worker's incarnation and the
+/// sequence number of its announcement: when announcements arrive out of order,
+/// the one with the highest number stays in effect.
 struct WorkerTold {
   WorkerInfo info;
   uint64_t sequence = 0;
-  WallTime born{};  ///< Zero: not told.
+  WallTime born{};  ///< Start time of the incarnation; zero: not reported.
 };
 
-/// A worker has begun a new life under its id. What was started there before is
-/// over, unless the new life lists it: an order may have come late.
+/// A worker has restarted under the same id. Runs that were started on the
+/// previous incarnation are over, unless the new one lists them: it may have
+/// received a delayed start order.
 struct WorkerReborn {
   std::string worker;
   WallTime born{};
 };
 
-/// As WorkerGone, of one life: a later one under the same id is not meant.
+/// Like WorkerGone, for one incarnation: a later one under the same id is not
+/// affected.
 struct LifeEnded {
   std::string worker;
-  WallTime born{};  ///< Zero: not known.
+  WallTime born{};  ///< Start time of the incarnation; zero: not known.
 };
 
-/// As ConfigurationSet, with whose jobs its queues take.
+/// Like ConfigurationSet, including `Configuration::identities`.
 struct ConfigurationAdopted {
   Configuration configuration;
 };
 
-/// As JobAccepted, with the organisation that it is for.
+/// Like JobAccepted, with the organisation that submitted the job.
 struct JobTaken {
   JobAccepted job;
-  std::string organisation;  ///< Empty: it came to an open queue.
-  bool is_excess = false;    ///< Beyond what its organisation is promised.
+  std::string organisation;  ///< Empty: submitted to an open queue.
+  bool is_excess = false;    ///< Above the organisation's guaranteed job rate.
 };
 
-/// A run has worked for so long that it does not crash the workers that start
-/// it: what went down under its task before counts no more.
+/// A run has been active for so long that starting its task does not crash the
+/// worker: earlier crashes of the task are dropped.
 struct RunProven {
   TaskId task;
   uint32_t run = 0;
 };
 
-/// As LifeEnded, of a worker that said that it would leave: what ran there to
-/// the end did not take it down.
+/// Like LifeEnded, for a worker that announced its shutdown: its runs are not
+/// counted as possible causes of a crash.
 struct WorkerLeft {
   std::string worker;
-  WallTime born{};  ///< Zero: not known.
+  WallTime born{};  ///< Start time of the incarnation; zero: not known.
 };
 
-/// New kinds go to the end: a kind is written as its place.
+/// A kind is encoded as its index: append new kinds at the end.
 using Record = std::variant<ConfigurationSet,
                             JobAccepted,
                             JobCancelled,
@@ -179,10 +190,12 @@
                             RunProven,
                             WorkerLeft>;
 
-/// Encodes a batch of records for the log. Thread-safe.
+/// Encodes a batch of records for the replicated log. Thread-safe.
 std::string EncodeRecords(std::vector<Record> records);
 
-/// Reads EncodeRecords()'s text; throws CodecError. Thread-safe.
+/// Decodes the output of EncodeRecords(). Thread-safe.
+///
+/// @throws CodecError on any other text.
 std::vector<Record> DecodeRecords(std::string_view text);
 
 template <typename Archive>
--- a/packages/scheduling/include/laurelhall/scheduling/worker_clock.h
+++ b/packages/scheduling/include/laurelhall/scheduling/worker_clock.h
@@ -6,45 +6,52 @@
 
 namespace laurelhall::scheduling {
 
-/// A time on a worker's own steady clock.
+/// A time of a worker's own steady clock.
 using WorkerTime = std::chrono::duration<int64_t, std::milli>;
 
-/// What is known of a worker's clock and of the lease of all that it runs.
+/// Tracks a worker's clock and the lease that covers all of its runs.
 ///
-/// @remarks Pure; not thread-safe. Errs on the side of a lease that still runs.
+/// @remarks Reads no clock itself; not thread-safe. In doubt, a lease counts as
+///   not expired.
 class WorkerClock {
  public:
-  /// @param longest_lease What a worker grants at most.
-  /// @param since Leases that an earlier leader asked for end at the latest
-  ///   `longest_lease` after this.
+  /// @param longest_lease The longest lease that a worker grants.
+  /// @param since Leases that a previous leader requested end at most
+  ///   `longest_lease` after this time, plus the allowances for messages that
+  ///   are still on their way and for slow clocks.
   WorkerClock(Millis longest_lease, SteadyTime since);
 
-  /// Takes in the clock of an answer that came at `now`.
+  /// Processes the clock value of a reply that arrived at `now`.
   void Observe(WorkerTime clock, SteadyTime now);
 
   bool is_known() const { return m_clock.has_value(); }
 
-  /// The clock's time now, within the time that an answer travels.
+  /// The current time of the worker's clock. Low by up to the time that the
+  /// reply took to arrive.
+  ///
   /// @pre is_known()
   WorkerTime Estimate(SteadyTime now) const;
 
-  /// The lease's end to ask for now, or one that was asked for before and is
-  /// later; it counts as granted from here on.
-  /// @param sure_at The last moment at which this host was sure to lead. Asked
-  ///   for no later, for the next leader counts on it.
+  /// The lease end to request now: `longest_lease` after `leading_at`, or a
+  /// later end that was requested before. It counts as granted from this call
+  /// on.
+  ///
+  /// @param leading_at The latest time at which this host was certainly the
+  ///   leader. A later lease end must not be requested, because the next leader
+  ///   relies on this bound.
   /// @pre is_known()
-  WorkerTime Extend(SteadyTime sure_at);
+  WorkerTime Extend(SteadyTime leading_at);
 
-  /// Whether every lease that may have been granted has run out.
+  /// Whether every lease that may have been granted has certainly expired.
   bool HasSurelyLapsed(SteadyTime now) const;
 
  private:
   Millis m_longest_lease;
-  SteadyTime m_earlier_leases_end;
+  SteadyTime m_previous_leases_end;
   std::optional<WorkerTime> m_clock;
   SteadyTime m_observed_at{};
   WorkerTime m_lease_end{0};
-  WorkerTime m_asked_end{WorkerTime::min()};
+  WorkerTime m_requested_end{WorkerTime::min()};
 };
 
 }  // namespace laurelhall::scheduling
--- a/packages/scheduling/src/crash.cc
+++ b/packages/scheduling/src/crash.cc
@@ -7,12 +7,12 @@
 
 namespace {
 
-// A worker that goes down with one task alone may do so by chance; one that
-// does as soon as that was started, hardly.
-constexpr Millis kAtOnce{250};
-constexpr std::array<uint32_t, static_cast<size_t>(Suspicion::kCount)> kBlame{
-    0, 0, 1, 2, 3, 0};
-constexpr uint32_t kBlameToConvict = 4;
+// A worker that crashes with a single task may do so by chance. This is
+// unlikely within so short a time of the task's start.
+constexpr Millis kPromptCrashTime{250};
+constexpr std::array<uint32_t, static_cast<size_t>(Suspicion::kCount)>
+    kBlameScores{0, 0, 1, 2, 3, 0};
+constexpr uint32_t kMinBlameToGiveUp = 4;
 
 constexpr std::array<const char*, static_cast<size_t>(LossScope::kCount)>
     kScopeNames{"worker", "several", "rack", "unknown"};
@@ -32,14 +32,15 @@
   std::vector<LostRun> started;
   std::copy_if(runs.begin(), runs.end(), std::back_inserter(started),
                [](const LostRun& run) { return run.may_have_started; });
-  // A worker goes down soon after a culprit's start: what has been at work for
-  // a while is suspected only where nothing newer is there.
+  // A worker crashes soon after the start of the task that causes it. Runs that
+  // were already observed for a while are suspected only if no run is newer.
   const auto new_runs = std::count_if(
       started.begin(), started.end(),
       [](const LostRun& run) { return run.has_started && IsNew(run); });
-  const bool is_any_new = new_runs > 0;
-  // What was seen at work does not explain a loss at another one's start.
-  const bool is_one_new =
+  const bool has_new_run = new_runs > 0;
+  // Runs that were already observed do not explain a loss right after the start
+  // of another one.
+  const bool is_only_one_new =
       new_runs == 1 &&
       std::all_of(started.begin(), started.end(), [](const LostRun& run) {
         return !IsNew(run) || run.has_started;
@@ -49,19 +50,19 @@
     Suspicion suspicion = Suspicion::kBystander;
     if (run.is_proven || run.seen_at_work >= kWorksWell) {
       suspicion = Suspicion::kCleared;
-    } else if (run.is_persistent && !IsNew(run) && is_any_new) {
-      // It stands there all day, beside whatever is started: the new ones
-      // explain the loss.
+    } else if (run.is_persistent && !IsNew(run) && has_new_run) {
+      // A persistent run is present at the start of every other run: the new
+      // runs explain the loss.
       suspicion = Suspicion::kExcused;
     } else if (!run.has_started) {
       suspicion = Suspicion::kBystander;
-    } else if (scope == LossScope::kWorker && is_one_new && IsNew(run) &&
-               run.lived < kAtOnce) {
+    } else if (scope == LossScope::kWorker && is_only_one_new && IsNew(run) &&
+               run.lived < kPromptCrashTime) {
       suspicion = Suspicion::kPrompt;
     } else if (scope == LossScope::kWorker && started.size() == 1 &&
                IsNew(run)) {
       suspicion = Suspicion::kSole;
-    } else if (scope < LossScope::kRack && (IsNew(run) || !is_any_new)) {
+    } else if (scope < LossScope::kRack && (IsNew(run) || !has_new_run)) {
       suspicion = Suspicion::kSuspect;
     }
     suspects.push_back({run.task, suspicion});
@@ -70,16 +71,16 @@
 }
 
 uint32_t BlameOf(Suspicion suspicion) {
-  return kBlame.at(static_cast<size_t>(suspicion));
+  return kBlameScores.at(static_cast<size_t>(suspicion));
 }
 
 bool IsGivenUp(size_t crashes,
                uint32_t blame,
                Suspicion last,
                bool is_persistent) {
-  const bool is_convicted =
-      !is_persistent && blame >= kBlameToConvict && last >= Suspicion::kSole;
-  return crashes >= kMostCrashes || is_convicted;
+  const bool is_found_cause =
+      !is_persistent && blame >= kMinBlameToGiveUp && last >= Suspicion::kSole;
+  return crashes >= kMostCrashes || is_found_cause;
 }
 
 bool MayBeOneMoment(const std::vector<LossTime>& losses) {
--- a/packages/scheduling/src/graph.cc
+++ b/packages/scheduling/src/graph.cc
@@ -12,13 +12,13 @@
 constexpr std::array<const char*, static_cast<size_t>(RunEnd::kCount)>
     kRunEndNames{"done", "failed", "stopped", "lapsed", "broken", "alone"};
 
-// Splits at dots; false unless there are just four parts.
+// Splits `text` at dots. False unless there are exactly kTaskIdParts parts.
 bool SplitTaskId(const std::string& text,
                  std::array<std::string, kTaskIdParts>& parts) {
   size_t part = 0;
-  for (const char letter : text) {
-    if (letter != '.') {
-      parts[part] += letter;
+  for (const char character : text) {
+    if (character != '.') {
+      parts[part] += character;
     } else if (++part == kTaskIdParts) {
       return false;
     }
@@ -26,7 +26,7 @@
   return part + 1 == kTaskIdParts;
 }
 
-bool ReadNumber(const std::string& text, uint32_t& number) {
+bool ParseNumber(const std::string& text, uint32_t& number) {
   const char* const end = text.data() + text.size();
   const auto [next, error] = std::from_chars(text.data(), end, number);
   return error == std::errc() && next == end;
@@ -37,10 +37,10 @@
 
 }  // namespace
 
-bool Fits(const Resources& need, const Resources& room) {
-  return need.millicores <= room.millicores &&
-         need.memory_mb <= room.memory_mb &&
-         need.accelerators <= room.accelerators;
+bool Fits(const Resources& need, const Resources& available) {
+  return need.millicores <= available.millicores &&
+         need.memory_mb <= available.memory_mb &&
+         need.accelerators <= available.accelerators;
 }
 
 void Add(Resources& sum, const Resources& part) {
@@ -77,8 +77,8 @@
 std::optional<TaskId> ParseTaskId(const std::string& text) {
   std::array<std::string, kTaskIdParts> parts;
   TaskId task;
-  if (!SplitTaskId(text, parts) || !ReadNumber(parts[1], task.occurrence) ||
-      !ReadNumber(parts[2], task.step) || !ReadNumber(parts[3], task.index)) {
+  if (!SplitTaskId(text, parts) || !ParseNumber(parts[1], task.occurrence) ||
+      !ParseNumber(parts[2], task.step) || !ParseNumber(parts[3], task.index)) {
     return std::nullopt;
   }
   task.job = std::move(parts[0]);
--- a/packages/scheduling/src/ledger.cc
+++ b/packages/scheduling/src/ledger.cc
@@ -9,19 +9,22 @@
 
 namespace {
 
-// Ids of ended lives that are remembered, so that a late announcement does not
-// bring one back: the lives of some days at the coming size (477 a day).
-constexpr size_t kMaxGone = 2'000;
-// Changes of workers that are told one by one; after more, who follows them
-// looks at all. Between two ticks of a leader of a thousand there are a few.
-constexpr size_t kMaxChanges = 256;
-// Workers that went down under a task, though none is sure to be its fault.
+// Number of ended workers whose ids are kept, so that a late announcement does
+// not add one of them again. Covers about four days at the expected fleet size,
+// with 477 ended workers a day.
+constexpr size_t kMaxEndedWorkers = 2'000;
+// Number of recorded worker changes. Callers that are further behind have to
+// look at all workers. A leader of 1000 workers sees a few changes per tick.
+constexpr size_t kMaxWorkerChanges = 256;
+// Number of crashes that make a task a suspect, even without any blame.
 constexpr size_t kCrashesToSuspect = 2;
-// From then on a further one beside others could be one too many.
+// Number of crashes from which on a task runs alone: it is given up after
+// kMostCrashes, also without blame, so that another crash beside other tasks
+// might be one too many.
 constexpr size_t kCrashesToIsolate = 3;
 
-// Fills what follows from a job's steps.
-void DeriveLayout(Job& job) {
+// Computes step_offset and occurrence_size from the steps of a job.
+void ComputeLayout(Job& job) {
   job.step_offset.clear();
   job.occurrence_size = 0;
   for (const StepSpec& step : job.spec.steps) {
@@ -33,11 +36,11 @@
 }  // namespace
 
 Resources RoomOf(const StepSpec& step) {
-  Resources room = step.need;
+  Resources reserved = step.need;
   if (step.is_filling) {
-    room.millicores = 0;
+    reserved.millicores = 0;
   }
-  return room;
+  return reserved;
 }
 
 size_t Job::IndexOf(const TaskId& task) const {
@@ -79,15 +82,16 @@
 }
 
 bool Task::IsSuspect() const {
-  return blame > 0 || crashed.size() + open_lapses >= kCrashesToSuspect;
+  return blame > 0 || crashed.size() + unresolved_lapses >= kCrashesToSuspect;
 }
 
 bool Task::IsIsolated() const {
-  return crashed.size() + open_lapses >= kCrashesToIsolate;
+  return crashed.size() + unresolved_lapses >= kCrashesToIsolate;
 }
 
 bool Task::IsHeldBack() const {
-  return open_lapses > 0 && crashed.size() + open_lapses >= kMostCrashes;
+  return unresolved_lapses > 0 &&
+         crashed.size() + unresolved_lapses >= kMostCrashes;
 }
 
 bool WaveState::is_done() const {
@@ -97,7 +101,7 @@
 }
 
 void Ledger::Apply(const Record& record) {
-  std::visit([this](const auto& known) { Run(known); }, record);
+  std::visit([this](const auto& known) { ApplyRecord(known); }, record);
 }
 
 const Job* Ledger::FindJob(const std::string& id) const {
@@ -112,14 +116,14 @@
 
 const std::set<std::string>& Ledger::WorkersOn(const std::string& host) const {
   static const std::set<std::string> none;
-  const auto found = m_workers_on.find(host);
-  return found == m_workers_on.end() ? none : found->second;
+  const auto found = m_workers_by_host.find(host);
+  return found == m_workers_by_host.end() ? none : found->second;
 }
 
 const QueueSpec* Ledger::FindQueueByName(const std::string& name) const {
-  const auto found = m_queue_places.find(name);
-  return found == m_queue_places.end() ? nullptr
-                                       : &m_configuration.queues[found->second];
+  const auto found = m_queue_index.find(name);
+  return found == m_queue_index.end() ? nullptr
+                                      : &m_configuration.queues[found->second];
 }
 
 Resources Ledger::InUseBy(const std::string& organisation) const {
@@ -165,8 +169,9 @@
 }
 
 bool Ledger::IsGone(const std::string& worker, WallTime born) const {
-  const auto gone = m_gone.find(worker);
-  return gone != m_gone.end() && (born == WallTime() || born <= gone->second);
+  const auto ended = m_ended_workers.find(worker);
+  return ended != m_ended_workers.end() &&
+         (born == WallTime() || born <= ended->second);
 }
 
 const std::string& Ledger::ServiceOf(const Job& job) const {
@@ -174,41 +179,41 @@
   return queue == nullptr ? job.service : queue->service;
 }
 
-void Ledger::Run(const ConfigurationSet& record) {
-  Adopt(record.configuration);
+void Ledger::ApplyRecord(const ConfigurationSet& record) {
+  SetIfNewer(record.configuration);
 }
 
-void Ledger::Run(const ConfigurationAdopted& record) {
-  Adopt(record.configuration);
+void Ledger::ApplyRecord(const ConfigurationAdopted& record) {
+  SetIfNewer(record.configuration);
 }
 
-void Ledger::Adopt(const Configuration& configuration) {
+void Ledger::SetIfNewer(const Configuration& configuration) {
   if (configuration.version > m_configuration.version) {
-    Configure(configuration);
+    SetConfiguration(configuration);
   }
 }
 
-void Ledger::Configure(Configuration configuration) {
+void Ledger::SetConfiguration(Configuration configuration) {
   m_configuration = std::move(configuration);
   m_keys = KeyRing(m_configuration);
-  m_queue_places.clear();
-  for (size_t place = 0; place < m_configuration.queues.size(); ++place) {
-    m_queue_places.try_emplace(m_configuration.queues[place].name, place);
+  m_queue_index.clear();
+  for (size_t index = 0; index < m_configuration.queues.size(); ++index) {
+    m_queue_index.try_emplace(m_configuration.queues[index].name, index);
   }
 }
 
-void Ledger::Run(const JobAccepted& record) {
-  Accept(record);
+void Ledger::ApplyRecord(const JobAccepted& record) {
+  AddJob(record);
 }
 
-void Ledger::Run(const JobTaken& record) {
-  if (Job* job = Accept(record.job)) {
+void Ledger::ApplyRecord(const JobTaken& record) {
+  if (Job* job = AddJob(record.job)) {
     job->organisation = record.organisation;
     job->is_excess = record.is_excess;
   }
 }
 
-Job* Ledger::Accept(const JobAccepted& record) {
+Job* Ledger::AddJob(const JobAccepted& record) {
   const auto [found, is_new] = m_jobs.try_emplace(record.id);
   if (!is_new) {
     return nullptr;
@@ -219,7 +224,7 @@
   job.service = record.service;
   job.accepted_at = record.at;
   job.spec = record.spec;
-  DeriveLayout(job);
+  ComputeLayout(job);
   job.tasks_left = job.occurrence_size * job.spec.occurrences;
   job.tasks.resize(job.tasks_left);
   for (uint32_t occurrence = 0; occurrence < job.spec.occurrences;
@@ -231,30 +236,30 @@
   if (job.tasks_left == 0) {
     job.state = JobState::kSucceeded;
   }
-  FollowQueued(job);
-  FollowOpen(job);
+  UpdateQueuedJobs(job);
+  UpdateOpenJobs(job);
   return &job;
 }
 
-void Ledger::Run(const JobCancelled& record) {
+void Ledger::ApplyRecord(const JobCancelled& record) {
   const auto found = m_jobs.find(record.id);
   if (found != m_jobs.end() && !found->second.is_over()) {
     SetState(found->second, JobState::kCancelled);
   }
 }
 
-void Ledger::Run(const JobsForgotten& record) {
+void Ledger::ApplyRecord(const JobsForgotten& record) {
   for (const std::string& id : record.ids) {
     const auto found = m_jobs.find(id);
     if (found != m_jobs.end() && found->second.is_over() &&
         found->second.active_runs == 0) {
-      m_open.erase(id);
+      m_open_jobs.erase(id);
       m_jobs.erase(found);
     }
   }
 }
 
-void Ledger::Run(const RunStarted& record) {
+void Ledger::ApplyRecord(const RunStarted& record) {
   const auto found = m_jobs.find(record.task.job);
   const auto worker = m_workers.find(record.worker);
   if (found == m_jobs.end() || worker == m_workers.end() ||
@@ -264,28 +269,30 @@
   Job& job = found->second;
   const size_t index = job.IndexOf(record.task);
   Task& task = job.tasks[index];
-  // A step that runs apart from the plan it was made on would run twice.
-  const bool is_free = task.active.empty() || job.StepOf(index).is_speculative;
-  if (job.is_over() || task.is_done || !is_free ||
+  // A start that was planned on an older state of the ledger must not run a
+  // task a second time.
+  const bool is_startable =
+      task.active.empty() || job.StepOf(index).is_speculative;
+  if (job.is_over() || task.is_done || !is_startable ||
       record.run <= task.last_run ||
       worker->second.active.contains(record.task)) {
     return;
   }
   task.last_run = record.run;
-  task.is_hot = true;
+  task.was_started = true;
   task.active.push_back({record.run, record.worker});
   ++job.active_runs;
-  CloseLapses(worker->second);
-  Occupy(worker->second, job, index);
+  ClearLapses(worker->second);
+  ReserveResources(worker->second, job, index);
   if (job.state == JobState::kQueued) {
     SetState(job, JobState::kRunning);
   }
 }
 
-void Ledger::Occupy(Worker& worker, const Job& job, size_t index) {
+void Ledger::ReserveResources(Worker& worker, const Job& job, size_t index) {
   const TaskId id = job.IdOf(index);
   const StepSpec& step = job.spec.steps[id.step];
-  const Resources room = RoomOf(step);
+  const Resources reserved = RoomOf(step);
   worker.active.insert(id);
   if (job.tasks[index].IsSuspect()) {
     worker.suspects.insert(id);
@@ -293,25 +300,27 @@
   if (!job.organisation.empty()) {
     Add(m_in_use[job.organisation], step.need);
   }
-  Add(worker.used, room);
+  Add(worker.used, reserved);
   if (step.is_persistent) {
     ++worker.persistent_runs;
-    worker.persistent_millicores += room.millicores;
+    worker.persistent_millicores += reserved.millicores;
   }
 }
 
-void Ledger::Vacate(Worker& worker, const TaskId& task, const StepSpec& step) {
-  const Resources room = RoomOf(step);
+void Ledger::ReleaseResources(Worker& worker,
+                              const TaskId& task,
+                              const StepSpec& step) {
+  const Resources reserved = RoomOf(step);
   worker.active.erase(task);
   worker.suspects.erase(task);
-  Subtract(worker.used, room);
+  Subtract(worker.used, reserved);
   if (step.is_persistent) {
     --worker.persistent_runs;
-    worker.persistent_millicores -= room.millicores;
+    worker.persistent_millicores -= reserved.millicores;
   }
 }
 
-void Ledger::Run(const RunEnded& record) {
+void Ledger::ApplyRecord(const RunEnded& record) {
   const auto found = m_jobs.find(record.task.job);
   if (found == m_jobs.end() || !found->second.Holds(record.task)) {
     return;
@@ -326,8 +335,8 @@
         return active.run == record.run && active.worker == record.worker;
       });
   if (run == task.active.end()) {
-    // Its lease lapsed before its end was heard of, and nothing was started
-    // since: what is done need not be done again.
+    // The lease expired before the end of the run was reported. If no other run
+    // was started since, its result still counts.
     const bool is_last =
         record.run == task.last_run && task.active.empty() && !task.is_done;
     if (record.end == RunEnd::kDone && is_last) {
@@ -343,7 +352,7 @@
   }
   const auto worker = m_workers.find(record.worker);
   if (worker != m_workers.end()) {
-    Vacate(worker->second, record.task, step);
+    ReleaseResources(worker->second, record.task, step);
   }
   if (!record.checkpoint.empty()) {
     task.checkpoint = record.checkpoint;
@@ -353,7 +362,7 @@
   } else if (record.end == RunEnd::kFailed) {
     CountFailure(job, index, record.worker);
   }
-  FollowOpen(job);
+  UpdateOpenJobs(job);
 }
 
 void Ledger::FinishTask(Job& job, size_t index) {
@@ -379,103 +388,108 @@
 void Ledger::CountFailure(Job& job, size_t index, const std::string& worker) {
   const TaskId id = job.IdOf(index);
   const StepSpec& step = job.spec.steps[id.step];
-  // A gang fails as one: its first task counts for all.
+  // A gang fails as a whole: its first task holds the failure count.
   Task& counted = job.tasks[step.is_gang ? index - id.index : index];
   ++counted.failures;
   job.tasks[index].failed_on = worker;
   const QueueSpec* queue = FindQueueByName(job.queue);
-  const uint32_t most = queue == nullptr ? UINT32_MAX : queue->max_attempts;
+  const uint32_t max_failures =
+      queue == nullptr ? UINT32_MAX : queue->max_attempts;
   const bool is_final = !step.is_persistent && !counted.is_done &&
-                        !job.is_over() && counted.failures >= most;
+                        !job.is_over() && counted.failures >= max_failures;
   if (is_final && job.tasks[index].active.empty()) {
-    GiveUp(job, index);
+    GiveUpTask(job, index);
   }
 }
 
-// A job fails as a whole, but for one with tasks that last: their users are
-// served as long as one of them may run.
-void Ledger::GiveUp(Job& job, size_t index) {
+// Fails the whole job, unless it has another persistent task that may still run
+// and serve its users.
+void Ledger::GiveUpTask(Job& job, size_t index) {
   job.tasks[index].is_given_up = true;
-  bool may_serve = false;
+  bool has_persistent_left = false;
   for (size_t other = 0; job.is_standing() && other < job.tasks.size();
        ++other) {
-    may_serve = may_serve || (job.StepOf(other).is_persistent &&
-                              !job.tasks[other].is_given_up);
+    has_persistent_left =
+        has_persistent_left ||
+        (job.StepOf(other).is_persistent && !job.tasks[other].is_given_up);
   }
-  if (!may_serve) {
+  if (!has_persistent_left) {
     SetState(job, JobState::kFailed);
   }
 }
 
 void Ledger::SetState(Job& job, JobState state) {
   job.state = state;
-  FollowQueued(job);
-  FollowOpen(job);
+  UpdateQueuedJobs(job);
+  UpdateOpenJobs(job);
 }
 
 size_t Ledger::CountQueued(const std::string& queue) const {
-  const auto found = m_queued.find(queue);
-  return found == m_queued.end() ? 0 : found->second.size();
+  const auto found = m_queued_jobs.find(queue);
+  return found == m_queued_jobs.end() ? 0 : found->second.size();
 }
 
-void Ledger::FollowQueued(const Job& job) {
+void Ledger::UpdateQueuedJobs(const Job& job) {
   if (job.state == JobState::kQueued) {
-    m_queued[job.queue].insert(job.id);
+    m_queued_jobs[job.queue].insert(job.id);
     return;
   }
-  const auto queued = m_queued.find(job.queue);
-  if (queued != m_queued.end()) {
+  const auto queued = m_queued_jobs.find(job.queue);
+  if (queued != m_queued_jobs.end()) {
     queued->second.erase(job.id);
   }
 }
 
-void Ledger::FollowOpen(const Job& job) {
+void Ledger::UpdateOpenJobs(const Job& job) {
   if (job.is_over() && job.active_runs == 0) {
-    m_open.erase(job.id);
+    m_open_jobs.erase(job.id);
   } else {
-    m_open.insert(job.id);
+    m_open_jobs.insert(job.id);
   }
 }
 
-void Ledger::Run(const WorkerSeen& record) {
+void Ledger::ApplyRecord(const WorkerSeen& record) {
   if (IsGone(record.info.id)) {
     return;
   }
-  // A life never comes back from draining: an older word may have been late.
+  // Draining is final within an incarnation: an announcement without it is an
+  // older one that arrived late.
   Worker& worker = m_workers[record.info.id];
   const bool was_draining = worker.info.is_draining;
-  SetInfo(worker, record.info);
+  SetWorkerInfo(worker, record.info);
   worker.info.is_draining = worker.info.is_draining || was_draining;
 }
 
-void Ledger::Run(const WorkerTold& record) {
+void Ledger::ApplyRecord(const WorkerTold& record) {
   const std::string& id = record.info.id;
   if (IsGone(id, record.born) || IsOutdated(id, record.born, record.sequence)) {
     return;
   }
   Worker& worker = m_workers[id];
-  if (m_gone.erase(id) > 0) {
-    std::erase(m_gone_order, id);
+  if (m_ended_workers.erase(id) > 0) {
+    std::erase(m_ended_order, id);
     ++worker.earlier_lives;
   }
-  BeginLife(id, worker, record.born);
-  Run(WorkerSeen{record.info});
+  BeginIncarnation(id, worker, record.born);
+  ApplyRecord(WorkerSeen{record.info});
   worker.sequence = record.sequence;
 }
 
-void Ledger::Run(const WorkerReborn& record) {
+void Ledger::ApplyRecord(const WorkerReborn& record) {
   const auto worker = m_workers.find(record.worker);
   if (worker != m_workers.end()) {
-    BeginLife(record.worker, worker->second, record.born);
+    BeginIncarnation(record.worker, worker->second, record.born);
   }
 }
 
-void Ledger::BeginLife(const std::string& id, Worker& worker, WallTime born) {
+void Ledger::BeginIncarnation(const std::string& id,
+                              Worker& worker,
+                              WallTime born) {
   if (born <= worker.born) {
     return;
   }
   if (worker.born != WallTime()) {
-    NoteChange(id);
+    RecordWorkerChange(id);
     ++worker.earlier_lives;
     worker.is_unjudged = true;
     worker.sequence = 0;
@@ -490,10 +504,10 @@
   worker.born = born;
 }
 
-void Ledger::NoteChange(const std::string& worker) {
+void Ledger::RecordWorkerChange(const std::string& worker) {
   ++m_workers_version;
   m_changed_workers.push_back(worker);
-  if (m_changed_workers.size() > kMaxChanges) {
+  if (m_changed_workers.size() > kMaxWorkerChanges) {
     m_changed_workers.pop_front();
   }
 }
@@ -512,27 +526,27 @@
   return true;
 }
 
-void Ledger::SetInfo(Worker& worker, const WorkerInfo& info) {
-  NoteChange(info.id);
-  LeaveHost(worker.info);
+void Ledger::SetWorkerInfo(Worker& worker, const WorkerInfo& info) {
+  RecordWorkerChange(info.id);
+  RemoveFromHost(worker.info);
   worker.info = info;
   if (!info.host.empty()) {
-    m_workers_on[info.host].insert(info.id);
+    m_workers_by_host[info.host].insert(info.id);
   }
 }
 
-void Ledger::LeaveHost(const WorkerInfo& info) {
-  const auto host = m_workers_on.find(info.host);
-  if (host == m_workers_on.end()) {
+void Ledger::RemoveFromHost(const WorkerInfo& info) {
+  const auto host = m_workers_by_host.find(info.host);
+  if (host == m_workers_by_host.end()) {
     return;
   }
   host->second.erase(info.id);
   if (host->second.empty()) {
-    m_workers_on.erase(host);
+    m_workers_by_host.erase(host);
   }
 }
 
-void Ledger::Run(const WorkerLapsed& record) {
+void Ledger::ApplyRecord(const WorkerLapsed& record) {
   const auto found = m_workers.find(record.worker);
   if (found == m_workers.end()) {
     return;
@@ -544,9 +558,9 @@
     const std::vector<ActiveRun> runs = job.tasks[index].active;
     for (const ActiveRun& run : runs) {
       if (run.worker == record.worker) {
-        const bool is_open = !run.is_proven && !run.is_judged &&
+        const bool is_open = !run.is_proven && !run.is_assessed &&
                              found->second.lapsed.insert(id).second;
-        job.tasks[index].open_lapses += is_open ? 1 : 0;
+        job.tasks[index].unresolved_lapses += is_open ? 1 : 0;
         job.has_crashes = job.has_crashes || is_open;
         EndRun(job, index, {id, run.run, run.worker, RunEnd::kLapsed, {}});
       }
@@ -554,57 +568,57 @@
   }
 }
 
-void Ledger::Run(const WorkerGone& record) {
+void Ledger::ApplyRecord(const WorkerGone& record) {
   const Worker* known = FindWorker(record.worker);
   const WallTime born = known == nullptr ? WallTime() : known->born;
-  Run(LifeEnded{record.worker, born});
+  ApplyRecord(LifeEnded{record.worker, born});
 }
 
-void Ledger::Run(const LifeEnded& record) {
-  EndLife(record.worker, record.born, true);
+void Ledger::ApplyRecord(const LifeEnded& record) {
+  EndIncarnation(record.worker, record.born, true);
 }
 
-void Ledger::Run(const WorkerLeft& record) {
-  EndLife(record.worker, record.born, false);
+void Ledger::ApplyRecord(const WorkerLeft& record) {
+  EndIncarnation(record.worker, record.born, false);
 }
 
-void Ledger::EndLife(const std::string& id,
-                     WallTime born,
-                     bool may_have_crashed) {
+void Ledger::EndIncarnation(const std::string& id,
+                            WallTime born,
+                            bool may_have_crashed) {
   const auto found = m_workers.find(id);
   if (found != m_workers.end() && born != WallTime() &&
       born < found->second.born) {
     return;
   }
   if (found != m_workers.end() && may_have_crashed) {
-    CountUnjudged(id, found->second);
+    CountUnassessedRuns(id, found->second);
   }
-  Run(WorkerLapsed{id});
+  ApplyRecord(WorkerLapsed{id});
   if (found != m_workers.end()) {
-    CloseLapses(found->second);
-    NoteChange(id);
-    LeaveHost(found->second.info);
+    ClearLapses(found->second);
+    RecordWorkerChange(id);
+    RemoveFromHost(found->second.info);
     m_workers.erase(found);
   }
-  Remember(id, born);
+  AddEndedWorker(id, born);
 }
 
-// Runs of which nobody has said why they ended with their worker count against
-// their tasks: the limit on starts holds without evidence.
-void Ledger::CountUnjudged(const std::string& id, const Worker& worker) {
-  std::vector<TaskId> unjudged(worker.lapsed.begin(), worker.lapsed.end());
+// Counts a crash, without blame, for each run on an ended worker that was not
+// assessed: kMostCrashes limits the starts of a task even without evidence.
+void Ledger::CountUnassessedRuns(const std::string& id, const Worker& worker) {
+  std::vector<TaskId> unassessed(worker.lapsed.begin(), worker.lapsed.end());
   for (const TaskId& task : worker.active) {
     const Job& job = m_jobs.at(task.job);
     const auto& active = job.tasks[job.IndexOf(task)].active;
     const bool is_open =
         std::any_of(active.begin(), active.end(), [&id](const ActiveRun& run) {
-          return run.worker == id && !run.is_proven && !run.is_judged;
+          return run.worker == id && !run.is_proven && !run.is_assessed;
         });
     if (is_open && !worker.lapsed.contains(task)) {
-      unjudged.push_back(task);
+      unassessed.push_back(task);
     }
   }
-  for (const TaskId& task : unjudged) {
+  for (const TaskId& task : unassessed) {
     const auto job = m_jobs.find(task.job);
     if (job != m_jobs.end() && job->second.Holds(task)) {
       CountCrash(job->second, job->second.IndexOf(task), id,
@@ -613,20 +627,20 @@
   }
 }
 
-void Ledger::Remember(const std::string& worker, WallTime born) {
-  const auto [gone, is_new] = m_gone.try_emplace(worker, born);
-  gone->second = std::max(gone->second, born);
+void Ledger::AddEndedWorker(const std::string& worker, WallTime born) {
+  const auto [ended, is_new] = m_ended_workers.try_emplace(worker, born);
+  ended->second = std::max(ended->second, born);
   if (!is_new) {
     return;
   }
-  m_gone_order.push_back(worker);
-  if (m_gone_order.size() > kMaxGone) {
-    m_gone.erase(m_gone_order.front());
-    m_gone_order.pop_front();
+  m_ended_order.push_back(worker);
+  if (m_ended_order.size() > kMaxEndedWorkers) {
+    m_ended_workers.erase(m_ended_order.front());
+    m_ended_order.pop_front();
   }
 }
 
-void Ledger::Run(const WorkerCrashed& record) {
+void Ledger::ApplyRecord(const WorkerCrashed& record) {
   const auto worker = m_workers.find(record.worker);
   if (worker == m_workers.end()) {
     return;
@@ -634,19 +648,19 @@
   worker->second.is_unjudged = false;
   for (const auto& [id, suspicion] : record.suspects) {
     const auto found = m_jobs.find(id.job);
-    const bool was_there = worker->second.active.contains(id) ||
+    const bool ran_there = worker->second.active.contains(id) ||
                            worker->second.lapsed.contains(id);
-    if (found == m_jobs.end() || !found->second.Holds(id) || !was_there) {
+    if (found == m_jobs.end() || !found->second.Holds(id) || !ran_there) {
       continue;
     }
     Job& job = found->second;
     const size_t index = job.IndexOf(id);
     for (ActiveRun& run : job.tasks[index].active) {
-      run.is_judged = run.is_judged || run.worker == record.worker;
+      run.is_assessed = run.is_assessed || run.worker == record.worker;
     }
     CountCrash(job, index, record.worker, suspicion);
   }
-  CloseLapses(worker->second);
+  ClearLapses(worker->second);
 }
 
 void Ledger::CountCrash(Job& job,
@@ -668,11 +682,11 @@
   if (!job.is_over() && !task.is_done &&
       IsGivenUp(task.crashed.size(), task.blame, suspicion,
                 job.StepOf(index).is_persistent)) {
-    GiveUp(job, index);
+    GiveUpTask(job, index);
   }
 }
 
-void Ledger::Run(const RunProven& record) {
+void Ledger::ApplyRecord(const RunProven& record) {
   const auto found = m_jobs.find(record.task.job);
   if (found == m_jobs.end() || !found->second.Holds(record.task)) {
     return;
@@ -687,17 +701,17 @@
   }
 }
 
-void Ledger::CloseLapses(Worker& worker) {
+void Ledger::ClearLapses(Worker& worker) {
   for (const TaskId& id : worker.lapsed) {
     const auto job = m_jobs.find(id.job);
     if (job != m_jobs.end()) {
-      --job->second.tasks[job->second.IndexOf(id)].open_lapses;
+      --job->second.tasks[job->second.IndexOf(id)].unresolved_lapses;
     }
   }
   worker.lapsed.clear();
 }
 
-void Ledger::Run(const WaveOpened& record) {
+void Ledger::ApplyRecord(const WaveOpened& record) {
   const auto [found, is_new] = m_waves.try_emplace(record.wave);
   if (!is_new) {
     return;
@@ -708,7 +722,7 @@
   }
 }
 
-void Ledger::Run(const WaveHostSet& record) {
+void Ledger::ApplyRecord(const WaveHostSet& record) {
   const auto found = m_waves.find(record.wave);
   if (found == m_waves.end() || !found->second.hosts.contains(record.host)) {
     return;
@@ -726,7 +740,7 @@
 
 template <typename Archive>
 void Visit(Archive& archive, Task& value) {
-  archive(value.is_done, value.is_hot, value.last_run, value.failures,
+  archive(value.is_done, value.was_started, value.last_run, value.failures,
           value.failed_on, value.checkpoint, value.active);
 }
 
@@ -770,7 +784,7 @@
   archive(value.worker, value.tasks);
 }
 
-struct SavedWord {
+struct SavedIncarnation {
   std::string worker;
   uint64_t sequence = 0;
   WallTime born{};
@@ -779,41 +793,41 @@
 };
 
 template <typename Archive>
-void Visit(Archive& archive, SavedWord& value) {
+void Visit(Archive& archive, SavedIncarnation& value) {
   archive(value.worker, value.sequence, value.born, value.earlier_lives,
           value.is_unjudged);
 }
 
-struct SavedOutlived {
+struct SavedSupersededRun {
   TaskId task;
   uint32_t run = 0;
 };
 
 template <typename Archive>
-void Visit(Archive& archive, SavedOutlived& value) {
+void Visit(Archive& archive, SavedSupersededRun& value) {
   archive(value.task, value.run);
 }
 
-struct SavedMarks {
+struct SavedRunFlags {
   TaskId task;
   uint32_t run = 0;
   bool is_proven = false;
-  bool is_judged = false;
+  bool is_assessed = false;
 };
 
 template <typename Archive>
-void Visit(Archive& archive, SavedMarks& value) {
-  archive(value.task, value.run, value.is_proven, value.is_judged);
+void Visit(Archive& archive, SavedRunFlags& value) {
+  archive(value.task, value.run, value.is_proven, value.is_assessed);
 }
 
-struct SavedOwner {
+struct SavedJobOwner {
   std::string job;
   std::string organisation;
   bool is_excess = false;
 };
 
 template <typename Archive>
-void Visit(Archive& archive, SavedOwner& value) {
+void Visit(Archive& archive, SavedJobOwner& value) {
   archive(value.job, value.organisation, value.is_excess);
 }
 
@@ -822,25 +836,25 @@
   std::vector<Job> jobs;
   std::vector<WorkerInfo> workers;
   std::vector<SavedWave> waves;
-  std::vector<std::string> gone;
+  std::vector<std::string> ended_workers;
   std::vector<SavedCrashes> crashes;
   std::vector<SavedLapse> lapses;
-  std::vector<SavedWord> words;
-  std::vector<SavedOutlived> outlived;
-  std::vector<WallTime> gone_births;  ///< As `gone`.
-  std::vector<SavedOwner> owners;     ///< Of the jobs that are somebody's.
+  std::vector<SavedIncarnation> incarnations;
+  std::vector<SavedSupersededRun> superseded_runs;
+  std::vector<WallTime> ended_start_times;  ///< Parallel to ended_workers.
+  std::vector<SavedJobOwner> owners;  ///< Of jobs that have an organisation.
   std::vector<TaskId> given_up;
-  std::vector<SavedMarks> marks;
+  std::vector<SavedRunFlags> run_flags;
 };
 
 template <typename Archive>
 void Visit(Archive& archive, SavedLedger& value) {
   archive(value.configuration, value.jobs, value.workers, value.waves,
-          value.gone);
-  archive.Later(value.crashes, value.lapses, value.words, value.outlived,
-                value.gone_births);
+          value.ended_workers);
+  archive.Later(value.crashes, value.lapses, value.incarnations,
+                value.superseded_runs, value.ended_start_times);
   archive.Later(value.configuration.identities, value.owners);
-  archive.Later(value.given_up, value.marks);
+  archive.Later(value.given_up, value.run_flags);
 }
 
 }  // namespace
@@ -854,7 +868,8 @@
   for (const auto& [id, worker] : m_workers) {
     saved.workers.push_back(worker.info);
   }
-  // One ledger has one text, in whatever order it came about.
+  // The order of the hash maps depends on their history: sort, so that equal
+  // ledgers have equal snapshots.
   const auto is_before = [](const auto& a, const auto& b) {
     return a.id < b.id;
   };
@@ -867,9 +882,9 @@
       out.hosts.push_back({number, host, stage});
     }
   }
-  saved.gone.assign(m_gone_order.begin(), m_gone_order.end());
-  for (const std::string& id : saved.gone) {
-    saved.gone_births.push_back(m_gone.at(id));
+  saved.ended_workers.assign(m_ended_order.begin(), m_ended_order.end());
+  for (const std::string& id : saved.ended_workers) {
+    saved.ended_start_times.push_back(m_ended_workers.at(id));
   }
   for (const Job& job : saved.jobs) {
     if (!job.organisation.empty()) {
@@ -885,19 +900,19 @@
       }
       for (const ActiveRun& run : task.active) {
         if (run.is_outlived) {
-          saved.outlived.push_back({job.IdOf(index), run.run});
+          saved.superseded_runs.push_back({job.IdOf(index), run.run});
         }
-        if (run.is_proven || run.is_judged) {
-          saved.marks.push_back(
-              {job.IdOf(index), run.run, run.is_proven, run.is_judged});
+        if (run.is_proven || run.is_assessed) {
+          saved.run_flags.push_back(
+              {job.IdOf(index), run.run, run.is_proven, run.is_assessed});
         }
       }
     }
   }
   for (const WorkerInfo& info : saved.workers) {
     const Worker& worker = m_workers.at(info.id);
-    saved.words.push_back({info.id, worker.sequence, worker.born,
-                           worker.earlier_lives, worker.is_unjudged});
+    saved.incarnations.push_back({info.id, worker.sequence, worker.born,
+                                  worker.earlier_lives, worker.is_unjudged});
     const std::set<TaskId>& lapsed = worker.lapsed;
     if (!lapsed.empty()) {
       saved.lapses.push_back({info.id, {lapsed.begin(), lapsed.end()}});
@@ -911,18 +926,18 @@
   const uint64_t version = m_workers_version;
   *this = Ledger();
   m_workers_version = version + 1;
-  Configure(std::move(saved.configuration));
+  SetConfiguration(std::move(saved.configuration));
   for (const WorkerInfo& info : saved.workers) {
-    SetInfo(m_workers[info.id], info);
+    SetWorkerInfo(m_workers[info.id], info);
   }
   for (Job& loaded : saved.jobs) {
     Job& job = m_jobs[loaded.id];
     job = std::move(loaded);
-    DeriveLayout(job);
-    FollowQueued(job);
-    FollowOpen(job);
+    ComputeLayout(job);
+    UpdateQueuedJobs(job);
+    UpdateOpenJobs(job);
   }
-  for (SavedOwner& owner : saved.owners) {
+  for (SavedJobOwner& owner : saved.owners) {
     Job& job = m_jobs.at(owner.job);
     job.organisation = std::move(owner.organisation);
     job.is_excess = owner.is_excess;
@@ -938,25 +953,25 @@
     Job& job = m_jobs.at(id.job);
     job.tasks[job.IndexOf(id)].is_given_up = true;
   }
-  for (const SavedWord& word : saved.words) {
-    Worker& worker = m_workers[word.worker];
-    worker.sequence = word.sequence;
-    worker.born = word.born;
-    worker.earlier_lives = word.earlier_lives;
-    worker.is_unjudged = word.is_unjudged;
-  }
-  for (const SavedOutlived& outlived : saved.outlived) {
-    Job& job = m_jobs.at(outlived.task.job);
-    for (ActiveRun& run : job.tasks[job.IndexOf(outlived.task)].active) {
-      run.is_outlived = run.is_outlived || run.run == outlived.run;
+  for (const SavedIncarnation& incarnation : saved.incarnations) {
+    Worker& worker = m_workers[incarnation.worker];
+    worker.sequence = incarnation.sequence;
+    worker.born = incarnation.born;
+    worker.earlier_lives = incarnation.earlier_lives;
+    worker.is_unjudged = incarnation.is_unjudged;
+  }
+  for (const SavedSupersededRun& superseded : saved.superseded_runs) {
+    Job& job = m_jobs.at(superseded.task.job);
+    for (ActiveRun& run : job.tasks[job.IndexOf(superseded.task)].active) {
+      run.is_outlived = run.is_outlived || run.run == superseded.run;
     }
   }
-  for (const SavedMarks& marks : saved.marks) {
-    Job& job = m_jobs.at(marks.task.job);
-    for (ActiveRun& run : job.tasks[job.IndexOf(marks.task)].active) {
-      if (run.run == marks.run) {
-        run.is_proven = marks.is_proven;
-        run.is_judged = marks.is_judged;
+  for (const SavedRunFlags& flags : saved.run_flags) {
+    Job& job = m_jobs.at(flags.task.job);
+    for (ActiveRun& run : job.tasks[job.IndexOf(flags.task)].active) {
+      if (run.run == flags.run) {
+        run.is_proven = flags.is_proven;
+        run.is_assessed = flags.is_assessed;
       }
     }
   }
@@ -967,7 +982,7 @@
       const auto job = m_jobs.find(id.job);
       if (job != m_jobs.end()) {
         job->second.has_crashes = true;
-        ++job->second.tasks[job->second.IndexOf(id)].open_lapses;
+        ++job->second.tasks[job->second.IndexOf(id)].unresolved_lapses;
       }
     }
   }
@@ -975,20 +990,21 @@
     for (size_t index = 0; index < job.tasks.size(); ++index) {
       const Task& task = job.tasks[index];
       for (const ActiveRun& run : task.active) {
-        Occupy(m_workers[run.worker], job, index);
+        ReserveResources(m_workers[run.worker], job, index);
       }
     }
   }
   for (SavedWave& wave : saved.waves) {
-    Run(wave.opened);
+    ApplyRecord(wave.opened);
     for (const WaveHostSet& host : wave.hosts) {
-      Run(host);
+      ApplyRecord(host);
     }
   }
-  saved.gone_births.resize(saved.gone.size());
-  for (size_t place = 0; place < saved.gone.size(); ++place) {
-    m_gone[saved.gone[place]] = saved.gone_births[place];
-    m_gone_order.push_back(saved.gone[place]);
+  saved.ended_start_times.resize(saved.ended_workers.size());
+  for (size_t index = 0; index < saved.ended_workers.size(); ++index) {
+    m_ended_workers[saved.ended_workers[index]] =
+        saved.ended_start_times[index];
+    m_ended_order.push_back(saved.ended_workers[index]);
   }
 }
 
--- a/packages/scheduling/src/organisation.cc
+++ b/packages/scheduling/src/organisation.cc
@@ -7,18 +7,18 @@
 
 namespace {
 
-// What an organisation leaves unused for so long it may send at once.
-constexpr std::chrono::duration<double> kRateWindow{2};
+// An organisation may submit in one burst the unused jobs of this time.
+constexpr std::chrono::duration<double> kBurstWindow{2};
 
-bool IsWithin(int64_t cap, int64_t in_use, int64_t need) {
+bool IsWithinLimit(int64_t cap, int64_t in_use, int64_t need) {
   return cap <= 0 || need <= 0 || in_use <= 0 || in_use + need <= cap;
 }
 
 }  // namespace
 
 KeyRing::KeyRing(const Configuration& configuration)
-    : m_is_open(!configuration.identities) {
-  if (m_is_open) {
+    : m_requires_no_key(!configuration.identities) {
+  if (m_requires_no_key) {
     return;
   }
   const IdentitySpec& identities = *configuration.identities;
@@ -27,18 +27,19 @@
   for (const OrganisationSpec& organisation : identities.organisations) {
     m_organisations.emplace(organisation.name, organisation);
     for (const std::string& key : organisation.keys) {
-      m_owners.emplace(key, organisation.name);
+      m_organisation_by_key.emplace(key, organisation.name);
     }
   }
 }
 
 Access KeyRing::Check(const std::string& queue,
                       const std::string& fingerprint) const {
-  if (m_is_open || m_open_queues.contains(queue)) {
+  if (m_requires_no_key || m_open_queues.contains(queue)) {
     return {true, ""};
   }
-  const auto owner = m_owners.find(fingerprint);
-  return owner == m_owners.end() ? Access() : Access{true, owner->second};
+  const auto entry = m_organisation_by_key.find(fingerprint);
+  return entry == m_organisation_by_key.end() ? Access()
+                                              : Access{true, entry->second};
 }
 
 const OrganisationSpec* KeyRing::Find(const std::string& organisation) const {
@@ -49,26 +50,29 @@
 bool IsWithinCap(const Resources& cap,
                  const Resources& in_use,
                  const Resources& need) {
-  return IsWithin(cap.millicores, in_use.millicores, need.millicores) &&
-         IsWithin(cap.memory_mb, in_use.memory_mb, need.memory_mb) &&
-         IsWithin(cap.accelerators, in_use.accelerators, need.accelerators);
+  return IsWithinLimit(cap.millicores, in_use.millicores, need.millicores) &&
+         IsWithinLimit(cap.memory_mb, in_use.memory_mb, need.memory_mb) &&
+         IsWithinLimit(cap.accelerators, in_use.accelerators,
+                       need.accelerators);
 }
 
 bool JobRates::IsExcess(const std::string& organisation,
-                        double per_second,
+                        double jobs_per_second,
                         SteadyTime now) {
-  // At least one job: a rate below one a second promises jobs all the same.
-  const double most = std::max(1.0, per_second * kRateWindow.count());
+  // At least one job: a rate below one per second must admit jobs too.
+  const double max_tokens =
+      std::max(1.0, jobs_per_second * kBurstWindow.count());
   const auto [found, is_new] =
-      m_left.try_emplace(organisation, Allowance{most, now});
-  Allowance& left = found->second;
-  const std::chrono::duration<double> since = now - left.at;
-  left.jobs = std::min(most, left.jobs + per_second * since.count());
-  left.at = now;
-  if (left.jobs < 1) {
+      m_buckets.try_emplace(organisation, TokenBucket{max_tokens, now});
+  TokenBucket& bucket = found->second;
+  const std::chrono::duration<double> elapsed = now - bucket.updated_at;
+  bucket.tokens =
+      std::min(max_tokens, bucket.tokens + jobs_per_second * elapsed.count());
+  bucket.updated_at = now;
+  if (bucket.tokens < 1) {
     return true;
   }
-  left.jobs -= 1;
+  bucket.tokens -= 1;
   return false;
 }
 
--- a/packages/scheduling/src/worker_clock.cc
+++ b/packages/scheduling/src/worker_clock.cc
@@ -6,31 +6,33 @@
 
 namespace {
 
-// Workers' clocks may run this much slow, as their makers state; the same is
-// allowed for between a call's arrival and its lease's start.
-constexpr double kSlowestClock = 0.98;
-constexpr Millis kMargin{100};
-// How long after it lost its leadership an earlier leader may still send: the
+// Minimum rate of a worker's clock relative to this host's, as specified by
+// the makers of the workers.
+constexpr double kMinClockRate = 0.98;
+// Allowed for between the arrival of a call and the start of its lease.
+constexpr Millis kLeaseMargin{100};
+// How long a previous leader may still send after it lost its leadership: the
 // longest election timeout of the log, after which it stops by itself.
-constexpr Millis kEarlierLeaderSends{1'200};
+constexpr Millis kPreviousLeaderSendTime{1'200};
 
-Millis Stretched(Millis duration) {
-  return std::chrono::duration_cast<Millis>(duration / kSlowestClock);
+Millis ScaleForSlowClock(Millis duration) {
+  return std::chrono::duration_cast<Millis>(duration / kMinClockRate);
 }
 
 }  // namespace
 
 WorkerClock::WorkerClock(Millis longest_lease, SteadyTime since)
     : m_longest_lease(longest_lease),
-      m_earlier_leases_end(since + kEarlierLeaderSends +
-                           Stretched(longest_lease) + kMargin) {}
+      m_previous_leases_end(since + kPreviousLeaderSendTime +
+                            ScaleForSlowClock(longest_lease) + kLeaseMargin) {}
 
 void WorkerClock::Observe(WorkerTime clock, SteadyTime now) {
   if (!m_clock) {
-    // Whatever an earlier leader asked for is no longer than this.
+    // No lease that a previous leader requested ends later than this.
     m_lease_end = clock + m_longest_lease;
   }
-  // However long it travelled, the clock shows at least this by now.
+  // The reply took time to arrive, so that the worker's clock is at or past
+  // this value by now.
   m_clock = clock;
   m_observed_at = now;
 }
@@ -39,18 +41,19 @@
   return *m_clock + std::chrono::floor<Millis>(now - m_observed_at);
 }
 
-WorkerTime WorkerClock::Extend(SteadyTime sure_at) {
-  m_asked_end = std::max(m_asked_end, Estimate(sure_at) + m_longest_lease);
-  m_lease_end = std::max(m_lease_end, m_asked_end);
-  return m_asked_end;
+WorkerTime WorkerClock::Extend(SteadyTime leading_at) {
+  m_requested_end =
+      std::max(m_requested_end, Estimate(leading_at) + m_longest_lease);
+  m_lease_end = std::max(m_lease_end, m_requested_end);
+  return m_requested_end;
 }
 
 bool WorkerClock::HasSurelyLapsed(SteadyTime now) const {
   if (!m_clock) {
-    return now >= m_earlier_leases_end;
+    return now >= m_previous_leases_end;
   }
   const Millis left = m_lease_end - *m_clock;
-  return now - m_observed_at > Stretched(left) + kMargin;
+  return now - m_observed_at > ScaleForSlowClock(left) + kLeaseMargin;
 }
 
 }  // namespace laurelhall::scheduling
--- a/packages/scheduling/tests/crash_test.cc
+++ b/packages/scheduling/tests/crash_test.cc
@@ -10,112 +10,118 @@
 namespace laurelhall::scheduling {
 namespace {
 
-TaskId Id(const std::string& job) {
+TaskId TaskOfJob(const std::string& job) {
   return {job, 0, 0, 0};
 }
 
-std::map<std::string, Suspicion> Judge(const std::vector<LostRun>& runs,
-                                       LossScope scope = LossScope::kWorker) {
-  std::map<std::string, Suspicion> judged;
+std::map<std::string, Suspicion> Assess(const std::vector<LostRun>& runs,
+                                        LossScope scope = LossScope::kWorker) {
+  std::map<std::string, Suspicion> assessed;
   for (const CrashSuspect& suspect : JudgeCrash(runs, scope)) {
-    judged[suspect.task.job] = suspect.suspicion;
+    assessed[suspect.task.job] = suspect.suspicion;
   }
-  return judged;
+  return assessed;
 }
 
-LostRun Seen(const std::string& job, Millis at_work) {
-  return {Id(job), true, at_work, Millis::max(), true};
+LostRun RunObservedFor(const std::string& job, Millis observed_for) {
+  return {TaskOfJob(job), true, observed_for, Millis::max(), true};
 }
 
-LostRun Standing(const std::string& job, Millis at_work) {
-  LostRun run = Seen(job, at_work);
+LostRun PersistentRun(const std::string& job, Millis observed_for) {
+  LostRun run = RunObservedFor(job, observed_for);
   run.is_persistent = true;
   return run;
 }
 
-TEST_CASE("Crash, persistent run at work beside new ones, is excused") {
-  const auto judged =
-      Judge({Standing("standing", Millis(900)), Seen("older", Millis(900)),
-             Seen("new", Millis(0))});
-  CHECK(judged.at("standing") == Suspicion::kExcused);
-  CHECK(judged.at("older") == Suspicion::kBystander);
-  CHECK(judged.at("new") == Suspicion::kSuspect);
+TEST_CASE("Crash, observed persistent run beside new ones, is excused") {
+  const auto assessed = Assess({PersistentRun("persistent", Millis(900)),
+                                RunObservedFor("older", Millis(900)),
+                                RunObservedFor("new", Millis(0))});
+  CHECK(assessed.at("persistent") == Suspicion::kExcused);
+  CHECK(assessed.at("older") == Suspicion::kBystander);
+  CHECK(assessed.at("new") == Suspicion::kSuspect);
 }
 
-TEST_CASE("Crash, persistent run at work and nothing newer, is suspected") {
-  const auto judged = Judge({Standing("standing", Millis(900))});
-  CHECK(judged.at("standing") == Suspicion::kSuspect);
+TEST_CASE("Crash, observed persistent run without newer ones, is suspected") {
+  const auto assessed = Assess({PersistentRun("persistent", Millis(900))});
+  CHECK(assessed.at("persistent") == Suspicion::kSuspect);
 }
 
-TEST_CASE("Crash, run proven before its leader led, is cleared") {
-  LostRun run = Standing("standing", Millis(0));
+TEST_CASE("Crash, run proven under an earlier leader, is cleared") {
+  LostRun run = PersistentRun("persistent", Millis(0));
   run.is_proven = true;
-  CHECK(Judge({run}, LossScope::kUnknown).at("standing") ==
+  CHECK(Assess({run}, LossScope::kUnknown).at("persistent") ==
         Suspicion::kCleared);
 }
 
-TEST_CASE("Crash, new runs beside older ones, the new ones are suspected") {
-  const auto judged =
-      Judge({{Id("new"), true, Millis(0), Millis::max(), true},
-             {Id("old"), true, Millis(900), Millis::max(), true},
-             {Id("long"), true, Millis(60'000), Millis::max(), true}});
-  CHECK(judged.at("new") == Suspicion::kSuspect);
-  CHECK(judged.at("old") == Suspicion::kBystander);
-  CHECK(judged.at("long") == Suspicion::kCleared);
+TEST_CASE("Crash, new runs beside older ones, new ones are suspected") {
+  const auto assessed =
+      Assess({{TaskOfJob("new"), true, Millis(0), Millis::max(), true},
+              {TaskOfJob("old"), true, Millis(900), Millis::max(), true},
+              {TaskOfJob("long"), true, Millis(60'000), Millis::max(), true}});
+  CHECK(assessed.at("new") == Suspicion::kSuspect);
+  CHECK(assessed.at("old") == Suspicion::kBystander);
+  CHECK(assessed.at("long") == Suspicion::kCleared);
 }
 
-TEST_CASE("Crash, no new run, the others are suspected") {
-  const auto judged =
-      Judge({{Id("a"), true, Millis(900), Millis::max(), true},
-             {Id("b"), true, Millis(1'900), Millis::max(), true}});
-  CHECK(judged.at("a") == Suspicion::kSuspect);
-  CHECK(judged.at("b") == Suspicion::kSuspect);
+TEST_CASE("Crash, no new run, older ones are suspected") {
+  const auto assessed =
+      Assess({{TaskOfJob("a"), true, Millis(900), Millis::max(), true},
+              {TaskOfJob("b"), true, Millis(1'900), Millis::max(), true}});
+  CHECK(assessed.at("a") == Suspicion::kSuspect);
+  CHECK(assessed.at("b") == Suspicion::kSuspect);
 }
 
-TEST_CASE("Crash, worker goes down at once, is told from one that does later") {
-  const auto at_once = Judge({{Id("a"), true, Millis(0), Millis(20), true}});
-  CHECK(at_once.at("a") == Suspicion::kPrompt);
-  const auto later = Judge({{Id("a"), true, Millis(0), Millis(400), true}});
+TEST_CASE("Crash, right after the start, weighs more than a later one") {
+  const auto prompt =
+      Assess({{TaskOfJob("a"), true, Millis(0), Millis(20), true}});
+  CHECK(prompt.at("a") == Suspicion::kPrompt);
+  const auto later =
+      Assess({{TaskOfJob("a"), true, Millis(0), Millis(400), true}});
   CHECK(later.at("a") == Suspicion::kSole);
 }
 
-TEST_CASE("Crash, one run that may have started, it is the only one") {
-  const auto judged = Judge({{Id("a"), true, Millis(0), Millis::max(), true},
-                             {Id("unsent"), false, Millis(0)}});
-  CHECK(judged.at("a") == Suspicion::kSole);
-  CHECK_FALSE(judged.contains("unsent"));
+TEST_CASE("Crash, other runs cannot have started, the run is the sole one") {
+  const auto assessed =
+      Assess({{TaskOfJob("a"), true, Millis(0), Millis::max(), true},
+              {TaskOfJob("unsent"), false, Millis(0)}});
+  CHECK(assessed.at("a") == Suspicion::kSole);
+  CHECK_FALSE(assessed.contains("unsent"));
 }
 
-TEST_CASE("Crash, only run may not have started, is not convicted") {
-  const auto judged = Judge({{Id("a"), true, Millis(0), Millis(20)}});
-  CHECK(judged.at("a") == Suspicion::kBystander);
+TEST_CASE("Crash, start of the only run not confirmed, is a bystander") {
+  const auto assessed = Assess({{TaskOfJob("a"), true, Millis(0), Millis(20)}});
+  CHECK(assessed.at("a") == Suspicion::kBystander);
 }
 
-TEST_CASE("Crash, the whole rack is lost, nothing is suspected") {
-  const auto judged = Judge({{Id("a"), true, Millis(0), Millis::max(), true}},
-                            LossScope::kRack);
-  CHECK(judged.at("a") == Suspicion::kBystander);
+TEST_CASE("Crash, whole rack is lost, nothing is suspected") {
+  const auto assessed =
+      Assess({{TaskOfJob("a"), true, Millis(0), Millis::max(), true}},
+             LossScope::kRack);
+  CHECK(assessed.at("a") == Suspicion::kBystander);
 }
 
-TEST_CASE("Crash, others are lost at the same moment, nothing is convicted") {
-  const auto judged = Judge({{Id("a"), true, Millis(0), Millis::max(), true}},
-                            LossScope::kSeveral);
-  CHECK(judged.at("a") == Suspicion::kSuspect);
+TEST_CASE("Crash, others are lost at the same time, run is only suspected") {
+  const auto assessed =
+      Assess({{TaskOfJob("a"), true, Millis(0), Millis::max(), true}},
+             LossScope::kSeveral);
+  CHECK(assessed.at("a") == Suspicion::kSuspect);
 }
 
-TEST_CASE("Crash, lost before its leader began, nothing is suspected") {
-  const auto judged = Judge({{Id("a"), true, Millis(0), Millis::max(), true}},
-                            LossScope::kUnknown);
-  CHECK(judged.at("a") == Suspicion::kBystander);
+TEST_CASE("Crash, before the leader took over, nothing is suspected") {
+  const auto assessed =
+      Assess({{TaskOfJob("a"), true, Millis(0), Millis::max(), true}},
+             LossScope::kUnknown);
+  CHECK(assessed.at("a") == Suspicion::kBystander);
 }
 
-TEST_CASE("Crash, only run was seen at work for a while, is not convicted") {
-  const auto judged =
-      Judge({{Id("a"), true, Millis(1'800), Millis::max(), true}});
-  CHECK(judged.at("a") == Suspicion::kSuspect);
+TEST_CASE("Crash, only run was observed for a while, is only suspected") {
+  const auto assessed =
+      Assess({{TaskOfJob("a"), true, Millis(1'800), Millis::max(), true}});
+  CHECK(assessed.at("a") == Suspicion::kSuspect);
 }
 
-TEST_CASE("Crash, how often, a task is given up") {
+TEST_CASE("Crash, repeated, task is given up by number and blame") {
   const uint32_t suspect = BlameOf(Suspicion::kSuspect);
   const uint32_t sole = BlameOf(Suspicion::kSole);
   const uint32_t prompt = BlameOf(Suspicion::kPrompt);
@@ -129,7 +135,7 @@
   CHECK(IsGivenUp(5, 5 * prompt, Suspicion::kPrompt, true));
 }
 
-TEST_CASE("Crash, losses that overlap in time, may be one moment") {
+TEST_CASE("Crash, losses with overlapping intervals, may be simultaneous") {
   const auto at = [](int from, int to) {
     return LossTime{SteadyTime(Millis(from)), SteadyTime(Millis(to))};
   };
@@ -137,7 +143,7 @@
   CHECK_FALSE(MayBeOneMoment({at(0, 100), at(50, 200), at(101, 120)}));
 }
 
-constexpr Resources kRoom{4'000, 16'000, 0};
+constexpr Resources kCapacity{4'000, 16'000, 0};
 
 class CrashLedgerFixture {
  protected:
@@ -160,7 +166,7 @@
     info.id = id;
     info.service = "teklif";
     info.host = "host-" + id;
-    info.capacity = kRoom;
+    info.capacity = kCapacity;
     ledger.Apply(WorkerSeen{info});
   }
 
@@ -178,8 +184,8 @@
              uint32_t run,
              const std::string& worker,
              Suspicion suspicion) {
-    ledger.Apply(RunStarted{Id(job), run, worker});
-    ledger.Apply(WorkerCrashed{worker, {{Id(job), suspicion}}});
+    ledger.Apply(RunStarted{TaskOfJob(job), run, worker});
+    ledger.Apply(WorkerCrashed{worker, {{TaskOfJob(job), suspicion}}});
     ledger.Apply(WorkerGone{worker});
     AddWorker(worker + "'");
   }
@@ -190,8 +196,8 @@
                       WorkerOutlook outlook;
                       outlook.is_usable = true;
                       outlook.is_quarantined =
-                          !worker.suspects.empty() && !m_are_settled;
-                      outlook.is_settled = m_are_settled;
+                          !worker.suspects.empty() && !m_is_settled;
+                      outlook.is_settled = m_is_settled;
                       return outlook;
                     },
                     m_seen_at};
@@ -211,14 +217,14 @@
   Ledger ledger;
   Millis m_now{1'000};
   std::unordered_map<std::string, SteadyTime> m_seen_at;
-  bool m_are_settled = false;
+  bool m_is_settled = false;
 
  private:
   Planner m_planner;
 };
 
 TEST_CASE_FIXTURE(CrashLedgerFixture,
-                  "Ledger, workers go down under a task, its job is given up") {
+                  "Ledger, workers crash while a task runs, its job fails") {
   Crash("a", 1, "w1", Suspicion::kSuspect);
   CHECK(TaskOf("a").IsSuspect());
   CHECK(ledger.FindJob("a")->state == JobState::kRunning);
@@ -231,44 +237,46 @@
 }
 
 TEST_CASE_FIXTURE(CrashLedgerFixture,
-                  "Ledger, task worked well before its worker went down, "
-                  "earlier crashes count no more") {
+                  "Ledger, task is cleared by a crash, earlier crashes are "
+                  "dropped") {
   Crash("a", 1, "w1", Suspicion::kSuspect);
   Crash("a", 2, "w2", Suspicion::kCleared);
   CHECK_FALSE(TaskOf("a").IsSuspect());
   CHECK(TaskOf("a").crashed.empty());
 }
 
-TEST_CASE_FIXTURE(CrashLedgerFixture,
-                  "Ledger, lease ran out before the crash is known, counts") {
-  ledger.Apply(RunStarted{Id("a"), 1, "w1"});
+TEST_CASE_FIXTURE(
+    CrashLedgerFixture,
+    "Ledger, crash assessed after the lease expired, counts once") {
+  ledger.Apply(RunStarted{TaskOfJob("a"), 1, "w1"});
   ledger.Apply(WorkerLapsed{"w1"});
-  ledger.Apply(WorkerCrashed{"w1", {{Id("a"), Suspicion::kSole}}});
+  ledger.Apply(WorkerCrashed{"w1", {{TaskOfJob("a"), Suspicion::kSole}}});
   CHECK(TaskOf("a").crashed.size() == 1);
-  // Told once more, by the next leader.
-  ledger.Apply(WorkerCrashed{"w1", {{Id("a"), Suspicion::kSole}}});
+  // The same crash, reported again by the next leader.
+  ledger.Apply(WorkerCrashed{"w1", {{TaskOfJob("a"), Suspicion::kSole}}});
   CHECK(TaskOf("a").crashed.size() == 1);
 }
 
 TEST_CASE_FIXTURE(CrashLedgerFixture,
-                  "Ledger, crashes, saved and loaded, still count") {
+                  "Ledger, saved and loaded, crashes still count") {
   Crash("a", 1, "w1", Suspicion::kSole);
-  ledger.Apply(RunStarted{Id("a"), 2, "w2"});
-  ledger.Apply(RunStarted{Id("b"), 1, "w3"});
+  ledger.Apply(RunStarted{TaskOfJob("a"), 2, "w2"});
+  ledger.Apply(RunStarted{TaskOfJob("b"), 1, "w3"});
   ledger.Apply(WorkerLapsed{"w3"});
   Ledger loaded;
   loaded.Load(ledger.Save());
   CHECK(loaded.Save() == ledger.Save());
-  CHECK(loaded.FindWorker("w2")->suspects == std::set<TaskId>{Id("a")});
-  CHECK(loaded.FindWorker("w3")->lapsed == std::set<TaskId>{Id("b")});
-  loaded.Apply(WorkerCrashed{"w2", {{Id("a"), Suspicion::kSole}}});
+  CHECK(loaded.FindWorker("w2")->suspects == std::set<TaskId>{TaskOfJob("a")});
+  CHECK(loaded.FindWorker("w3")->lapsed == std::set<TaskId>{TaskOfJob("b")});
+  loaded.Apply(WorkerCrashed{"w2", {{TaskOfJob("a"), Suspicion::kSole}}});
   CHECK(loaded.FindJob("a")->state == JobState::kFailed);
 }
 
-// Guards the limit on starts: nobody said why the run ended with its worker.
+// The limit on crashes per task must also hold for runs whose worker ended
+// without an assessment.
 TEST_CASE_FIXTURE(CrashLedgerFixture,
-                  "Ledger, life ends without a judgement, its runs count") {
-  ledger.Apply(RunStarted{Id("a"), 1, "w1"});
+                  "Ledger, worker ends without assessment, its runs count") {
+  ledger.Apply(RunStarted{TaskOfJob("a"), 1, "w1"});
   ledger.Apply(WorkerCrashed{"w1", {}});
   ledger.Apply(LifeEnded{"w1", {}});
   CHECK(TaskOf("a").crashed == std::vector<std::string>{"w1"});
@@ -276,28 +284,29 @@
 }
 
 TEST_CASE_FIXTURE(CrashLedgerFixture,
-                  "Ledger, lease ran out and life ends without a judgement, "
+                  "Ledger, lease expires and worker ends without assessment, "
                   "its runs count once") {
-  ledger.Apply(RunStarted{Id("a"), 1, "w1"});
+  ledger.Apply(RunStarted{TaskOfJob("a"), 1, "w1"});
   ledger.Apply(WorkerLapsed{"w1"});
   ledger.Apply(LifeEnded{"w1", {}});
   CHECK(TaskOf("a").crashed.size() == 1);
-  CHECK(TaskOf("a").open_lapses == 0);
+  CHECK(TaskOf("a").unresolved_lapses == 0);
 }
 
-TEST_CASE_FIXTURE(CrashLedgerFixture,
-                  "Ledger, life ends after a judgement, its runs count once") {
+TEST_CASE_FIXTURE(
+    CrashLedgerFixture,
+    "Ledger, worker ends after an assessment, its runs count once") {
   Crash("a", 1, "w1", Suspicion::kSuspect);
-  ledger.Apply(RunStarted{Id("b"), 1, "w2"});
-  ledger.Apply(WorkerCrashed{"w2", {{Id("b"), Suspicion::kExcused}}});
+  ledger.Apply(RunStarted{TaskOfJob("b"), 1, "w2"});
+  ledger.Apply(WorkerCrashed{"w2", {{TaskOfJob("b"), Suspicion::kExcused}}});
   ledger.Apply(LifeEnded{"w2", {}});
   CHECK(TaskOf("a").crashed.size() == 1);
   CHECK(TaskOf("b").crashed.empty());
 }
 
 TEST_CASE_FIXTURE(CrashLedgerFixture,
-                  "Ledger, worker left by its own word, nothing counts") {
-  ledger.Apply(RunStarted{Id("a"), 1, "w1"});
+                  "Ledger, worker announced its shutdown, no crash counts") {
+  ledger.Apply(RunStarted{TaskOfJob("a"), 1, "w1"});
   ledger.Apply(WorkerLeft{"w1", {}});
   CHECK(TaskOf("a").crashed.empty());
   CHECK(TaskOf("a").active.empty());
@@ -305,10 +314,10 @@
 }
 
 TEST_CASE_FIXTURE(CrashLedgerFixture,
-                  "Ledger, run is proven, no crash counts, saved and loaded") {
+                  "Ledger, run proven, saved and loaded, no crash counts") {
   Crash("a", 1, "w1", Suspicion::kSuspect);
-  ledger.Apply(RunStarted{Id("a"), 2, "w2"});
-  ledger.Apply(RunProven{Id("a"), 2});
+  ledger.Apply(RunStarted{TaskOfJob("a"), 2, "w2"});
+  ledger.Apply(RunProven{TaskOfJob("a"), 2});
   CHECK(TaskOf("a").crashed.empty());
   Ledger loaded;
   loaded.Load(ledger.Save());
@@ -317,7 +326,7 @@
   CHECK(loaded.FindJob("a")->tasks[0].crashed.empty());
 }
 
-TEST_CASE("Records of lives that end, written and read, mean the same") {
+TEST_CASE("Records of proven runs and left workers, decoded, equal") {
   const auto records = DecodeRecords(EncodeRecords(
       {RunProven{{"a", 0, 1, 2}, 3}, WorkerLeft{"w1", WallTime(Millis(5))}}));
   const auto& proven = std::get<RunProven>(records.at(0));
@@ -328,8 +337,8 @@
   CHECK(left.born == WallTime(Millis(5)));
 }
 
-// What the version before crashes were counted wrote.
-TEST_CASE("Ledger, snapshot without crashes, is read") {
+// Written by the version before crashes were counted.
+TEST_CASE("Ledger, snapshot without crashes, is loaded") {
   Ledger ledger;
   ledger.Load(
       "1 2:{}1 6:quotes1:q3:/q/6:teklif0 2 1600 600 1 6:teklif0 0 1 "
@@ -342,16 +351,16 @@
   CHECK(ledger.IsGone("w9"));
 }
 
-TEST_CASE("Records of the version before crashes were counted, are read") {
+TEST_CASE("Records, of the version before crashes were counted, decoded") {
   const auto records = DecodeRecords(
       "4 6 2:w10:6:teklif0:6:host-10:0 4000 16000 0 0 4 1:a0 0 0 1 2:w17 "
       "2:w18 2:w1");
   CHECK(records.size() == 4);
 }
 
-// Pattern: a suspect that is put beside others takes them down with it.
+// Guards against a suspect that crashes a worker on which other tasks run.
 TEST_CASE_FIXTURE(CrashLedgerFixture,
-                  "Planner, suspect, starts where nothing else runs") {
+                  "Planner, suspect, starts on a worker without other tasks") {
   Crash("a", 1, "w1", Suspicion::kSuspect);
   for (int job = 0; job < 4; ++job) {
     Submit("other-" + std::to_string(job));
@@ -364,22 +373,23 @@
 }
 
 TEST_CASE_FIXTURE(CrashLedgerFixture,
-                  "Planner, suspect and no empty worker, one is cleared") {
+                  "Planner, suspect and no empty worker, one is vacated") {
   for (int job = 0; job < 4; ++job) {
     Submit("first-" + std::to_string(job));
   }
-  ledger.Apply(RunStarted{Id("b"), 1, "w1"});
-  ledger.Apply(RunStarted{Id("first-0"), 1, "w2"});
-  ledger.Apply(RunStarted{Id("first-1"), 1, "w3"});
-  ledger.Apply(RunStarted{Id("first-2"), 1, "w3"});
-  ledger.Apply(RunStarted{Id("first-3"), 1, "w1"});
-  ledger.Apply(RunStarted{Id("a"), 1, "w3"});
-  ledger.Apply(WorkerCrashed{"w3", {{Id("a"), Suspicion::kSuspect}}});
-  ledger.Apply(RunEnded{Id("a"), 1, "w3", RunEnd::kLapsed, {}});
+  ledger.Apply(RunStarted{TaskOfJob("b"), 1, "w1"});
+  ledger.Apply(RunStarted{TaskOfJob("first-0"), 1, "w2"});
+  ledger.Apply(RunStarted{TaskOfJob("first-1"), 1, "w3"});
+  ledger.Apply(RunStarted{TaskOfJob("first-2"), 1, "w3"});
+  ledger.Apply(RunStarted{TaskOfJob("first-3"), 1, "w1"});
+  ledger.Apply(RunStarted{TaskOfJob("a"), 1, "w3"});
+  ledger.Apply(WorkerCrashed{"w3", {{TaskOfJob("a"), Suspicion::kSuspect}}});
+  ledger.Apply(RunEnded{TaskOfJob("a"), 1, "w3", RunEnd::kLapsed, {}});
   CHECK(Plan().empty());
   Submit("next");
-  CHECK(Plan().at("next") != "w2");  // The one with the fewest is kept free.
-  ledger.Apply(RunEnded{Id("first-0"), 1, "w2", RunEnd::kDone, {}});
+  CHECK(Plan().at("next") !=
+        "w2");  // The worker with the fewest tasks is vacated.
+  ledger.Apply(RunEnded{TaskOfJob("first-0"), 1, "w2", RunEnd::kDone, {}});
   CHECK(Plan().at("a") == "w2");
   Submit("last");
   CHECK(Plan().at("last") != "w2");
@@ -387,32 +397,33 @@
 
 TEST_CASE_FIXTURE(CrashLedgerFixture,
                   "Planner, suspect and no worker becomes empty, starts beside "
-                  "others") {
+                  "other tasks") {
   for (const char* worker : {"w1", "w2", "w3"}) {
     Submit(std::string("long-") + worker);
-    ledger.Apply(RunStarted{Id(std::string("long-") + worker), 1, worker});
+    ledger.Apply(
+        RunStarted{TaskOfJob(std::string("long-") + worker), 1, worker});
   }
-  ledger.Apply(RunStarted{Id("a"), 1, "w3"});
-  ledger.Apply(WorkerCrashed{"w3", {{Id("a"), Suspicion::kSuspect}}});
-  ledger.Apply(RunEnded{Id("a"), 1, "w3", RunEnd::kLapsed, {}});
-  CHECK(Plan().size() == 1);  // "b" alone.
+  ledger.Apply(RunStarted{TaskOfJob("a"), 1, "w3"});
+  ledger.Apply(WorkerCrashed{"w3", {{TaskOfJob("a"), Suspicion::kSuspect}}});
+  ledger.Apply(RunEnded{TaskOfJob("a"), 1, "w3", RunEnd::kLapsed, {}});
+  CHECK(Plan().size() == 1);  // Only "b".
   m_now += Millis(2'500);
   CHECK(Plan().size() == 1);
 }
 
-// Pattern: hosts leave for other pools one after the other, so that another
-// worker is to be cleared each time.
+// Guards against a suspect that waits forever: hosts move to other pools one
+// after the other, so that another worker has to be vacated each time.
 TEST_CASE_FIXTURE(
     CrashLedgerFixture,
-    "Planner, worker that is cleared leaves, the suspect waits no "
-    "longer for it") {
+    "Planner, worker being vacated leaves, suspect does not wait longer") {
   for (const char* worker : {"w1", "w2", "w3"}) {
     Submit(std::string("long-") + worker);
-    ledger.Apply(RunStarted{Id(std::string("long-") + worker), 1, worker});
+    ledger.Apply(
+        RunStarted{TaskOfJob(std::string("long-") + worker), 1, worker});
   }
-  ledger.Apply(RunStarted{Id("a"), 1, "w3"});
-  ledger.Apply(WorkerCrashed{"w3", {{Id("a"), Suspicion::kSuspect}}});
-  ledger.Apply(RunEnded{Id("a"), 1, "w3", RunEnd::kLapsed, {}});
+  ledger.Apply(RunStarted{TaskOfJob("a"), 1, "w3"});
+  ledger.Apply(WorkerCrashed{"w3", {{TaskOfJob("a"), Suspicion::kSuspect}}});
+  ledger.Apply(RunEnded{TaskOfJob("a"), 1, "w3", RunEnd::kLapsed, {}});
   CHECK_FALSE(Plan().contains("a"));
   for (const char* leaving : {"w1", "w2"}) {
     m_now += Millis(1'100);
@@ -426,23 +437,23 @@
   CHECK(Plan().at("a") == "w3");
 }
 
-// Pattern: a crash leaves many suspects, and one worker that is cleared at a
-// time tries them for longer than their callers wait.
+// Guards against callers that time out: a crash leaves many suspects, and
+// running them one by one on a single vacated worker takes too long.
 TEST_CASE_FIXTURE(CrashLedgerFixture,
-                  "Planner, many suspects wait, several workers are cleared") {
+                  "Planner, many suspects wait, several workers are vacated") {
   for (int worker = 4; worker <= 12; ++worker) {
     AddWorker("w" + std::to_string(worker));
   }
   for (const auto& [id, worker] : ledger.workers()) {
     Submit("busy-" + id);
-    ledger.Apply(RunStarted{Id("busy-" + id), 1, id});
+    ledger.Apply(RunStarted{TaskOfJob("busy-" + id), 1, id});
   }
   std::vector<CrashSuspect> suspects;
   AddWorker("lost");
   for (int job = 0; job < 12; ++job) {
     Submit("suspect-" + std::to_string(job));
     suspects.push_back(
-        {Id("suspect-" + std::to_string(job)), Suspicion::kSuspect});
+        {TaskOfJob("suspect-" + std::to_string(job)), Suspicion::kSuspect});
     ledger.Apply(RunStarted{suspects.back().task, 1, "lost"});
   }
   ledger.Apply(WorkerCrashed{"lost", suspects});
@@ -451,45 +462,46 @@
   for (int job = 0; job < 40; ++job) {
     Submit("next-" + std::to_string(job));
   }
-  std::set<std::string> taken;
+  std::set<std::string> used_workers;
   for (const auto& [job, worker] : Plan()) {
-    taken.insert(worker);
+    used_workers.insert(worker);
   }
-  CHECK(taken.size() == 12 - 4);  // A third is kept free.
+  CHECK(used_workers.size() == 12 - 4);  // A third is vacated.
 }
 
-// Pattern: a worker that has tried one of many suspects is filled with new
-// tasks, and another one has to be emptied for the next.
+// Guards against a worker that is filled with new tasks once it has run one of
+// many suspects, so that another worker has to be vacated for the next one.
 TEST_CASE_FIXTURE(CrashLedgerFixture,
-                  "Planner, worker has tried a suspect and others wait, stays "
-                  "free of new tasks") {
-  m_now += Millis(100'000);  // The suspects are late, and go last.
+                  "Planner, worker has run a suspect and others wait, gets no "
+                  "new tasks") {
+  m_now +=
+      Millis(100'000);  // The suspects are late and have the lowest urgency.
   for (const char* worker : {"w1", "w3"}) {
     for (int job = 0; job < 4; ++job) {
       const std::string id = "long-" + std::to_string(job) + worker;
       Submit(id);
-      ledger.Apply(RunStarted{Id(id), 1, worker});
+      ledger.Apply(RunStarted{TaskOfJob(id), 1, worker});
     }
   }
-  ledger.Apply(RunStarted{Id("a"), 1, "w2"});
-  ledger.Apply(RunStarted{Id("b"), 1, "w2"});
+  ledger.Apply(RunStarted{TaskOfJob("a"), 1, "w2"});
+  ledger.Apply(RunStarted{TaskOfJob("b"), 1, "w2"});
   AddWorker("lost");
   std::vector<CrashSuspect> suspects;
   for (int job = 0; job < 6; ++job) {
     Submit("suspect-" + std::to_string(job));
     m_seen_at["suspect-" + std::to_string(job)] = SteadyTime();
     suspects.push_back(
-        {Id("suspect-" + std::to_string(job)), Suspicion::kSuspect});
+        {TaskOfJob("suspect-" + std::to_string(job)), Suspicion::kSuspect});
     ledger.Apply(RunStarted{suspects.back().task, 1, "lost"});
   }
   ledger.Apply(WorkerCrashed{"lost", suspects});
   ledger.Apply(WorkerGone{"lost"});
   CHECK(Plan().empty());
-  ledger.Apply(RunEnded{Id("a"), 1, "w2", RunEnd::kDone, {}});
-  ledger.Apply(RunEnded{Id("b"), 1, "w2", RunEnd::kDone, {}});
+  ledger.Apply(RunEnded{TaskOfJob("a"), 1, "w2", RunEnd::kDone, {}});
+  ledger.Apply(RunEnded{TaskOfJob("b"), 1, "w2", RunEnd::kDone, {}});
   CHECK(Plan().size() == 1);  // The first suspect, on w2.
   CHECK(Plan().empty());
-  m_are_settled = true;
+  m_is_settled = true;
   Submit("next");
   m_seen_at["next"] = SteadyTime(m_now);
   const auto starts = Plan();
@@ -497,29 +509,29 @@
   CHECK_FALSE(starts.contains("next"));
 }
 
-// Pattern: suspects of late jobs wait for as long as new tasks that are on time
-// take each worker that becomes free.
+// Guards against starvation: new tasks that are on time take every worker that
+// becomes free, and suspects of late jobs never start.
 TEST_CASE_FIXTURE(CrashLedgerFixture,
-                  "Planner, suspect of a late job has waited for long, goes "
-                  "before a task that is on time") {
+                  "Planner, suspect of a late job has waited long, precedes a "
+                  "task that is on time") {
   m_now += Millis(100'000);
   for (const char* worker : {"w1", "w3"}) {
     for (int job = 0; job < 4; ++job) {
       const std::string id = "long-" + std::to_string(job) + worker;
       Submit(id);
-      ledger.Apply(RunStarted{Id(id), 1, worker});
+      ledger.Apply(RunStarted{TaskOfJob(id), 1, worker});
     }
   }
   AddWorker("lost");
   std::vector<CrashSuspect> suspects;
   for (const char* job : {"a", "b"}) {
     m_seen_at[job] = SteadyTime();
-    suspects.push_back({Id(job), Suspicion::kSuspect});
+    suspects.push_back({TaskOfJob(job), Suspicion::kSuspect});
     ledger.Apply(RunStarted{suspects.back().task, 1, "lost"});
   }
   ledger.Apply(WorkerCrashed{"lost", suspects});
   ledger.Apply(WorkerGone{"lost"});
-  CHECK(Plan().size() == 1);  // On w2, where it is being tried.
+  CHECK(Plan().size() == 1);  // On w2, as its only run.
   m_now += Millis(5'000);
   CHECK(Plan().empty());
   AddWorker("w4");
@@ -530,15 +542,16 @@
   CHECK_FALSE(starts.contains("next"));
 }
 
-// Pattern: suspects that are put together after a while all go down with the
-// culprit among them.
+// Guards against suspects that share a worker after a while and are all lost in
+// the crash that one of them causes.
 TEST_CASE_FIXTURE(CrashLedgerFixture,
-                  "Planner, a suspect is being tried, the others wait for it") {
+                  "Planner, a suspect runs alone, other suspects wait for it") {
   Crash("a", 1, "w1", Suspicion::kSuspect);
   Crash("b", 1, "w2", Suspicion::kSuspect);
   for (const char* worker : {"w1'", "w2'"}) {
     Submit(std::string("long-") + worker);
-    ledger.Apply(RunStarted{Id(std::string("long-") + worker), 1, worker});
+    ledger.Apply(
+        RunStarted{TaskOfJob(std::string("long-") + worker), 1, worker});
   }
   CHECK(Plan().size() == 1);  // On the third worker.
   m_now += Millis(2'500);
@@ -546,33 +559,35 @@
 }
 
 TEST_CASE_FIXTURE(CrashLedgerFixture,
-                  "Planner, three workers went down under a suspect, it never "
-                  "starts beside others") {
+                  "Planner, three workers crashed under a suspect, it never "
+                  "starts beside other tasks") {
   Crash("a", 1, "w1", Suspicion::kBystander);
   Crash("a", 2, "w2", Suspicion::kBystander);
   Crash("a", 3, "w3", Suspicion::kBystander);
   for (const char* worker : {"w1'", "w2'", "w3'"}) {
     Submit(std::string("long-") + worker);
-    ledger.Apply(RunStarted{Id(std::string("long-") + worker), 1, worker});
+    ledger.Apply(
+        RunStarted{TaskOfJob(std::string("long-") + worker), 1, worker});
   }
   const auto first = Plan();
   CHECK_FALSE(first.contains("a"));
   m_now += Millis(60'000);
   CHECK_FALSE(Plan().contains("a"));
   const std::string& worker = first.at("b");
-  ledger.Apply(RunEnded{Id("b"), 1, worker, RunEnd::kDone, {}});
-  ledger.Apply(RunEnded{Id("long-" + worker), 1, worker, RunEnd::kDone, {}});
+  ledger.Apply(RunEnded{TaskOfJob("b"), 1, worker, RunEnd::kDone, {}});
+  ledger.Apply(
+      RunEnded{TaskOfJob("long-" + worker), 1, worker, RunEnd::kDone, {}});
   CHECK(Plan().at("a") == worker);
 }
 
-// A persistent task serves its users all the while: it waits for no empty
-// worker.
+// A persistent task serves users: it must not wait for an empty worker.
 TEST_CASE_FIXTURE(CrashLedgerFixture,
                   "Planner, persistent suspect and no empty worker, starts "
-                  "beside others at once") {
+                  "beside other tasks at once") {
   for (const char* worker : {"w1", "w2", "w3"}) {
     Submit(std::string("long-") + worker);
-    ledger.Apply(RunStarted{Id(std::string("long-") + worker), 1, worker});
+    ledger.Apply(
+        RunStarted{TaskOfJob(std::string("long-") + worker), 1, worker});
   }
   JobSpec spec;
   StepSpec step;
@@ -581,9 +596,10 @@
   step.is_persistent = true;
   spec.steps.push_back(step);
   ledger.Apply(JobAccepted{"audit", "quotes", "teklif", WallTime(), spec});
-  ledger.Apply(RunStarted{Id("audit"), 1, "w3"});
-  ledger.Apply(WorkerCrashed{"w3", {{Id("audit"), Suspicion::kSuspect}}});
-  ledger.Apply(RunEnded{Id("audit"), 1, "w3", RunEnd::kLapsed, {}});
+  ledger.Apply(RunStarted{TaskOfJob("audit"), 1, "w3"});
+  ledger.Apply(
+      WorkerCrashed{"w3", {{TaskOfJob("audit"), Suspicion::kSuspect}}});
+  ledger.Apply(RunEnded{TaskOfJob("audit"), 1, "w3", RunEnd::kLapsed, {}});
   CHECK(Plan().contains("audit"));
 }
 
--- a/packages/scheduling/tests/ledger_test.cc
+++ b/packages/scheduling/tests/ledger_test.cc
@@ -34,12 +34,12 @@
     ledger.Apply(JobAccepted{kJob, "quotes", "teklif", WallTime(), spec});
   }
 
-  static StepSpec Step(uint32_t count, std::vector<uint32_t> after = {}) {
+  static StepSpec Step(uint32_t count, std::vector<uint32_t> depends_on = {}) {
     StepSpec step;
     step.count = count;
     step.need = {1'000, 500, 0};
     step.estimate = Millis(800);
-    step.depends_on = std::move(after);
+    step.depends_on = std::move(depends_on);
     return step;
   }
 
@@ -62,7 +62,8 @@
   Ledger ledger;
 };
 
-TEST_CASE_FIXTURE(LedgerFixture, "Ledger, task started twice, runs once") {
+TEST_CASE_FIXTURE(LedgerFixture,
+                  "Ledger, second start of an active task, ignored") {
   Accept({Step(1)});
   Start(0, 0, 1, "w1");
   Start(0, 0, 2, "w2");
@@ -71,7 +72,7 @@
   CHECK(job().tasks[0].last_run == 1);
 }
 
-TEST_CASE_FIXTURE(LedgerFixture, "Ledger, task done, is never started again") {
+TEST_CASE_FIXTURE(LedgerFixture, "Ledger, start of a finished task, ignored") {
   Accept({Step(2)});
   Start(0, 0, 1, "w1");
   End(0, 0, 1, "w1", RunEnd::kDone);
@@ -80,8 +81,7 @@
   CHECK(job().tasks[0].is_done);
 }
 
-TEST_CASE_FIXTURE(LedgerFixture,
-                  "Ledger, late end of an older run, no effect") {
+TEST_CASE_FIXTURE(LedgerFixture, "Ledger, late end of an older run, ignored") {
   Accept({Step(1)});
   Start(0, 0, 1, "w1");
   ledger.Apply(WorkerLapsed{"w1"});
@@ -92,7 +92,7 @@
 }
 
 TEST_CASE_FIXTURE(LedgerFixture,
-                  "Ledger, done before its lease lapsed, is not done again") {
+                  "Ledger, run done before its lease lapsed, task is done") {
   Accept({Step(1)});
   Start(0, 0, 1, "w1");
   ledger.Apply(WorkerLapsed{"w1"});
@@ -101,13 +101,13 @@
 }
 
 TEST_CASE_FIXTURE(LedgerFixture,
-                  "Ledger, same job handed in twice, first one stays") {
+                  "Ledger, job id accepted twice, first job is kept") {
   Accept({Step(1)});
   Accept({Step(5)});
   CHECK(job().tasks.size() == 1);
 }
 
-TEST_CASE_FIXTURE(LedgerFixture, "Ledger, last attempt failed, job failed") {
+TEST_CASE_FIXTURE(LedgerFixture, "Ledger, last attempt fails, job fails") {
   Accept({Step(1)});
   Start(0, 0, 1, "w1");
   End(0, 0, 1, "w1", RunEnd::kFailed);
@@ -119,7 +119,7 @@
 }
 
 TEST_CASE_FIXTURE(LedgerFixture,
-                  "Ledger, lapsed and stopped runs, count as no failure") {
+                  "Ledger, lapsed and stopped runs, not counted as failures") {
   Accept({Step(1)});
   Start(0, 0, 1, "w1");
   ledger.Apply(WorkerLapsed{"w1"});
@@ -130,7 +130,7 @@
 }
 
 TEST_CASE_FIXTURE(LedgerFixture,
-                  "Ledger, step with dependency, opens when that is done") {
+                  "Ledger, step with a dependency, opens when that is done") {
   Accept({Step(1), Step(1, {0})});
   CHECK_FALSE(job().IsStepOpen(0, 1));
   Start(0, 0, 1, "w1");
@@ -138,7 +138,8 @@
   CHECK(job().IsStepOpen(0, 1));
 }
 
-TEST_CASE_FIXTURE(LedgerFixture, "Ledger, one member of a gang done, all are") {
+TEST_CASE_FIXTURE(LedgerFixture,
+                  "Ledger, member of a gang done, whole gang is done") {
   StepSpec gang = Step(3);
   gang.is_gang = true;
   Accept({gang});
@@ -147,7 +148,7 @@
   }
   End(0, 1, 1, "w1", RunEnd::kDone);
   CHECK(job().state == JobState::kSucceeded);
-  // What is still listed there takes its room until its end comes.
+  // Active runs hold their resources until their end is applied.
   CHECK(ledger.FindWorker("w1")->used.millicores == 2'000);
   CHECK(ledger.open_jobs().size() == 1);
   End(0, 0, 1, "w1", RunEnd::kDone);
@@ -156,16 +157,16 @@
 }
 
 TEST_CASE_FIXTURE(LedgerFixture,
-                  "Ledger, filling task, takes memory and no processors") {
-  StepSpec filling = Step(1);
-  filling.is_filling = true;
-  Accept({filling});
+                  "Ledger, best-effort task, uses memory and no processors") {
+  StepSpec best_effort = Step(1);
+  best_effort.is_filling = true;
+  Accept({best_effort});
   Start(0, 0, 1, "w1");
   CHECK(ledger.FindWorker("w1")->used == Resources{0, 500, 0});
 }
 
 TEST_CASE_FIXTURE(LedgerFixture,
-                  "Ledger, older word after draining, drains still") {
+                  "Ledger, late announcement without draining, still drains") {
   WorkerInfo info = ledger.FindWorker("w1")->info;
   info.is_draining = true;
   ledger.Apply(WorkerSeen{info});
@@ -175,7 +176,7 @@
 }
 
 TEST_CASE_FIXTURE(LedgerFixture,
-                  "Ledger, word of a life that ended, no worker") {
+                  "Ledger, announcement of an ended worker, ignored") {
   const WorkerInfo info = ledger.FindWorker("w1")->info;
   ledger.Apply(WorkerGone{"w1"});
   ledger.Apply(WorkerSeen{info});
@@ -183,7 +184,7 @@
 }
 
 TEST_CASE_FIXTURE(LedgerFixture,
-                  "Ledger, lower or equal version, configuration stays") {
+                  "Ledger, configuration of an equal version, ignored") {
   Configuration other;
   other.version = 3;
   other.document = "other";
@@ -194,8 +195,9 @@
   CHECK(ledger.configuration().document == "other");
 }
 
-TEST_CASE_FIXTURE(LedgerFixture,
-                  "Ledger, cancelled with a run, open until it ends") {
+TEST_CASE_FIXTURE(
+    LedgerFixture,
+    "Ledger, job cancelled with an active run, open until it ends") {
   Accept({Step(2)});
   Start(0, 0, 1, "w1");
   ledger.Apply(JobCancelled{kJob});
@@ -207,7 +209,7 @@
   CHECK(job().state == JobState::kCancelled);
 }
 
-TEST_CASE_FIXTURE(LedgerFixture, "Ledger, saved and loaded, same ledger") {
+TEST_CASE_FIXTURE(LedgerFixture, "Ledger, saved and loaded, equal") {
   StepSpec persistent = Step(2);
   persistent.is_persistent = true;
   Accept({Step(2), persistent});
@@ -226,9 +228,8 @@
   CHECK(loaded.waves().at(7).hosts.at("h1") == WaveStage::kOrdered);
 }
 
-TEST_CASE_FIXTURE(
-    LedgerFixture,
-    "Ledger, jobs that wait for a first start, counted by queue") {
+TEST_CASE_FIXTURE(LedgerFixture,
+                  "Ledger, jobs without a started task, counted by queue") {
   Accept({Step(2)});
   CHECK(ledger.CountQueued("quotes") == 1);
   CHECK(ledger.CountQueued("other") == 0);
@@ -241,38 +242,37 @@
   CHECK(ledger.CountQueued("quotes") == 0);
 }
 
-TEST_CASE_FIXTURE(
-    LedgerFixture,
-    "Ledger, workers change, are told one by one since a version") {
+TEST_CASE_FIXTURE(LedgerFixture,
+                  "Ledger, workers changed since a version, visited in order") {
   const uint64_t before = ledger.workers_version();
   WorkerInfo info = ledger.FindWorker("w1")->info;
   info.is_draining = true;
   ledger.Apply(WorkerSeen{info});
   ledger.Apply(WorkerGone{"w2"});
   std::vector<std::string> changed;
-  const auto note = [&](const std::string& id) { changed.push_back(id); };
-  CHECK(ledger.VisitChangedWorkers(before, note));
+  const auto collect = [&](const std::string& id) { changed.push_back(id); };
+  CHECK(ledger.VisitChangedWorkers(before, collect));
   CHECK(changed == std::vector<std::string>{"w1", "w2"});
   changed.clear();
-  CHECK(ledger.VisitChangedWorkers(ledger.workers_version(), note));
+  CHECK(ledger.VisitChangedWorkers(ledger.workers_version(), collect));
   CHECK(changed.empty());
   const uint64_t saved_at = ledger.workers_version();
   ledger.Load(ledger.Save());
-  CHECK_FALSE(ledger.VisitChangedWorkers(saved_at, note));
+  CHECK_FALSE(ledger.VisitChangedWorkers(saved_at, collect));
   for (int change = 0; change < 300; ++change) {
     ledger.Apply(WorkerSeen{info});
   }
-  CHECK_FALSE(ledger.VisitChangedWorkers(saved_at + 1, note));
+  CHECK_FALSE(ledger.VisitChangedWorkers(saved_at + 1, collect));
 }
 
 TEST_CASE_FIXTURE(LedgerFixture,
-                  "Ledger, job cancelled before its first start, not counted") {
+                  "Ledger, job cancelled before its first start, not queued") {
   Accept({Step(1)});
   ledger.Apply(JobCancelled{kJob});
   CHECK(ledger.CountQueued("quotes") == 0);
 }
 
-TEST_CASE("Records, cut at any place, refused") {
+TEST_CASE("Records, truncated at any position, rejected") {
   JobSpec spec;
   spec.steps.emplace_back().count = 3;
   const std::string text =
@@ -284,7 +284,7 @@
   }
 }
 
-TEST_CASE("Task id, formatted and parsed, the same; other texts, none") {
+TEST_CASE("Task id, formatted and parsed, equal; other texts, none") {
   const TaskId task{kJob, 2, 1, 17};
   CHECK(FormatTaskId(task) == "5c0e7a21d94b36f8.2.1.17");
   CHECK(ParseTaskId(FormatTaskId(task)) == task);
@@ -293,7 +293,7 @@
   }
 }
 
-TEST_CASE("Queue, several prefixes fit, the longest is taken") {
+TEST_CASE("Queue, several prefixes match, longest one is found") {
   Configuration configuration;
   configuration.queues.push_back({"short", "h", "/a/"});
   configuration.queues.push_back({"long", "h", "/a/b/"});
--- a/packages/scheduling/tests/organisation_test.cc
+++ b/packages/scheduling/tests/organisation_test.cc
@@ -21,7 +21,8 @@
   Configuration configuration;
 };
 
-TEST_CASE_FIXTURE(KeyRingFixture, "KeyRing, keys of a, open for a") {
+TEST_CASE_FIXTURE(KeyRingFixture,
+                  "KeyRing, known key, grants access for its organisation") {
   const KeyRing keys(configuration);
   CHECK(keys.Check("quotes", "1").organisation == "a");
   CHECK(keys.Check("quotes", "2").organisation == "a");
@@ -30,7 +31,7 @@
   CHECK_FALSE(keys.Check("quotes", "").is_granted);
 }
 
-TEST_CASE_FIXTURE(KeyRingFixture, "KeyRing, open queue, asks for no key") {
+TEST_CASE_FIXTURE(KeyRingFixture, "KeyRing, open queue, requires no key") {
   const Access access = KeyRing(configuration).Check("audits", "4");
   CHECK(access.is_granted);
   CHECK(access.organisation.empty());
@@ -42,19 +43,19 @@
   CHECK(KeyRing(configuration).Check("quotes", "").is_granted);
 }
 
-TEST_CASE("Cap, task more would pass it, not within") {
+TEST_CASE("Cap, another task would exceed it, not within") {
   const Resources cap{4'000, 0, 2};
   CHECK(IsWithinCap(cap, {3'000, 9'000, 0}, {1'000, 500, 0}));
   CHECK_FALSE(IsWithinCap(cap, {3'500, 0, 0}, {1'000, 500, 0}));
   CHECK_FALSE(IsWithinCap(cap, {0, 0, 2}, {0, 0, 1}));
 }
 
-TEST_CASE("Cap, task larger than all of it, runs alone") {
+TEST_CASE("Cap, task larger than the whole cap, runs alone") {
   CHECK(IsWithinCap({4'000, 0, 0}, {}, {6'000, 0, 0}));
   CHECK_FALSE(IsWithinCap({4'000, 0, 0}, {1'000, 0, 0}, {6'000, 0, 0}));
 }
 
-TEST_CASE("JobRates, more jobs than promised, the rest is excess") {
+TEST_CASE("JobRates, more jobs than guaranteed, the rest is excess") {
   JobRates rates;
   SteadyTime now{};
   int excess = 0;
@@ -64,21 +65,22 @@
     }
     CHECK_FALSE(rates.IsExcess("b", 4, now));
   }
-  // Two seconds' jobs may come at once; of the others a third is too many.
+  // The jobs of two seconds are allowed as a burst; of the others, a third is
+  // excess.
   CHECK(excess >= 20 * 2 - 2 * 4);
   CHECK(excess <= 20 * 2);
 }
 
-TEST_CASE("JobRates, promised less than one a second, the first is none") {
+TEST_CASE("JobRates, rate below one per second, first job is no excess") {
   JobRates rates;
   CHECK_FALSE(rates.IsExcess("a", 0.1, SteadyTime()));
   CHECK(rates.IsExcess("a", 0.1, SteadyTime() + Seconds(1)));
   CHECK_FALSE(rates.IsExcess("a", 0.1, SteadyTime() + Seconds(11)));
 }
 
-class OwnedJobFixture : public KeyRingFixture {
+class OrganisationJobFixture : public KeyRingFixture {
  protected:
-  OwnedJobFixture() {
+  OrganisationJobFixture() {
     ledger.Apply(ConfigurationAdopted{configuration});
     for (const char* id : {"w1", "w2"}) {
       WorkerInfo info;
@@ -96,19 +98,19 @@
   Ledger ledger;
 };
 
-TEST_CASE_FIXTURE(OwnedJobFixture,
-                  "Ledger, runs of an organisation, counted until they end") {
+TEST_CASE_FIXTURE(OrganisationJobFixture,
+                  "Ledger, runs of an organisation, in use until they end") {
   ledger.Apply(RunStarted{{"j", 0, 0, 0}, 1, "w1"});
   ledger.Apply(RunStarted{{"j", 0, 0, 1}, 1, "w2"});
   CHECK(ledger.InUseBy("a") == Resources{2'000, 200, 0});
-  // Lost, and counted until its lease has surely run out.
   ledger.Apply(RunEnded{{"j", 0, 0, 0}, 1, "w1", RunEnd::kDone, ""});
   CHECK(ledger.InUseBy("a") == Resources{1'000, 100, 0});
+  // The run on a lost worker counts until its lease has certainly expired.
   ledger.Apply(WorkerLapsed{"w2"});
   CHECK(ledger.InUseBy("a") == Resources());
 }
 
-TEST_CASE_FIXTURE(OwnedJobFixture,
+TEST_CASE_FIXTURE(OrganisationJobFixture,
                   "Ledger, saved and loaded, jobs keep their organisation") {
   ledger.Apply(RunStarted{{"j", 0, 0, 0}, 1, "w1"});
   Ledger loaded;
@@ -119,24 +121,24 @@
   CHECK(loaded.Save() == ledger.Save());
 }
 
-TEST_CASE_FIXTURE(OwnedJobFixture,
-                  "Ledger, records written and read, mean the same") {
-  Ledger read;
+TEST_CASE_FIXTURE(OrganisationJobFixture,
+                  "Ledger, records encoded and decoded, same effect") {
+  Ledger decoded;
   JobSpec spec;
   spec.steps.emplace_back().count = 1;
   const std::string text = EncodeRecords(
       {ConfigurationAdopted{configuration},
        JobTaken{{"j", "quotes", "teklif", WallTime(), spec}, "b", true}});
   for (const Record& record : DecodeRecords(text)) {
-    read.Apply(record);
+    decoded.Apply(record);
   }
-  CHECK(read.FindJob("j")->organisation == "b");
-  CHECK(read.FindJob("j")->is_excess);
-  CHECK(read.keys().Find("a")->cap == Resources{4'000, 0, 0});
+  CHECK(decoded.FindJob("j")->organisation == "b");
+  CHECK(decoded.FindJob("j")->is_excess);
+  CHECK(decoded.keys().Find("a")->cap == Resources{4'000, 0, 0});
 }
 
-// What an earlier version wrote ends before organisations.
-TEST_CASE("Ledger, snapshot without organisations, jobs are nobody's") {
+// Snapshots of earlier versions end before the fields of organisations.
+TEST_CASE("Ledger, snapshot without organisations, jobs have none") {
   Ledger ledger;
   Configuration configuration;
   configuration.version = 3;
@@ -146,10 +148,10 @@
   spec.steps.emplace_back().count = 1;
   ledger.Apply(JobAccepted{"j", "quotes", "teklif", WallTime(), spec});
   std::string text = ledger.Save();
-  // No identities, no owners, no tasks given up, no marks.
-  const std::string added = "0 0 0 0 ";
-  REQUIRE(text.ends_with(added));
-  text.resize(text.size() - added.size());
+  // No identities, no job owners, no tasks given up, no run flags.
+  const std::string added_fields = "0 0 0 0 ";
+  REQUIRE(text.ends_with(added_fields));
+  text.resize(text.size() - added_fields.size());
   Ledger loaded;
   loaded.Load(text);
   CHECK(loaded.FindJob("j")->organisation.empty());
