--- a/packages/scheduling/include/laurelhall/scheduling/crash.h
+++ b/packages/scheduling/include/laurelhall/scheduling/crash.h
@@ -7,8 +7,8 @@
 // Determines which task made a worker crash. A crash has one cause, while many
 // unrelated tasks may run on the worker; the loss of a rack or a site is not
 // caused by a task. When a worker crashes with a single task on it, that task
-// is the cause. Suspects are therefore started on workers without other runs,
-// until they have been observed running.
+// counts as the cause. Suspects are therefore started on workers without other
+// runs, until they have been observed running.
 namespace laurelhall::scheduling {
 
 /// A run that was lost with its worker, as observed by the leader.
@@ -32,7 +32,8 @@
 /// other tasks off its worker.
 constexpr Millis kSeenAtWork{300};
 
-/// A run that has been observed for this long is not a cause of crashes.
+/// A task with a run that has been observed for this long does not crash the
+/// workers on which it starts.
 constexpr Millis kWorksWell{5'000};
 
 /// What was lost together with a worker.
@@ -66,7 +67,8 @@
                Suspicion last,
                bool is_persistent);
 
-/// The interval in which a worker was lost.
+/// The interval in which a worker was lost: after `alive_until` and before
+/// `lost_by`.
 struct LossTime {
   SteadyTime alive_until{};
   SteadyTime lost_by{};
--- a/packages/scheduling/include/laurelhall/scheduling/graph.h
+++ b/packages/scheduling/include/laurelhall/scheduling/graph.h
@@ -34,8 +34,8 @@
   uint32_t count = 0;
   Resources need;
   Millis estimate{0};  ///< Estimated run time of one task; may be far off.
-  std::vector<uint32_t>
-      depends_on;        ///< Indices of steps that must finish first.
+  /// Indices of earlier steps that must be done first.
+  std::vector<uint32_t> depends_on;
   bool is_gang = false;  ///< Makes progress only while all of its tasks run.
   bool is_same_rack = false;  ///< Runs slower when spread over several racks.
   bool is_checkpointing = false;
@@ -111,7 +111,7 @@
 /// A version of the scheduling configuration.
 struct Configuration {
   uint64_t version = 0;
-  std::string document;  ///< The text as submitted, returned to readers.
+  std::string document;  ///< The text as submitted; returned to readers.
   std::vector<QueueSpec> queues;
   std::vector<ServiceSpec> services;
   /// Without it, no queue requires a key.
--- a/packages/scheduling/include/laurelhall/scheduling/ledger.h
+++ b/packages/scheduling/include/laurelhall/scheduling/ledger.h
@@ -29,7 +29,9 @@
   bool is_done = false;
   bool was_started = false;  ///< At least one run was started.
   uint32_t last_run = 0;
-  uint32_t failures = 0;   ///< Number of runs that ended with kFailed.
+  /// Number of runs that ended with kFailed. The first task of a gang counts
+  /// those of all its tasks.
+  uint32_t failures = 0;
   std::string failed_on;   ///< The worker of the last failure.
   std::string checkpoint;  ///< The next run resumes from it; may be empty.
   std::vector<ActiveRun> active;
@@ -254,7 +256,7 @@
   void UpdateQueuedJobs(const Job& job);
   void UpdateOpenJobs(const Job& job);
   void SetConfiguration(Configuration configuration);
-  void SetIfNewer(const Configuration& configuration);
+  void SetConfigurationIfNewer(const Configuration& configuration);
   /// @returns Null when the job is already known.
   Job* AddJob(const JobAccepted& record);
   void RecordWorkerChange(const std::string& worker);
@@ -271,14 +273,11 @@
       m_queued_jobs;  // Ids of jobs in JobState::kQueued, by queue.
   Workers m_workers;
   uint64_t m_workers_version = 0;
-  std::deque<std::string>
-      m_changed_workers;  // One id per version, newest last.
+  std::deque<std::string> m_changed_workers;  // One per version, oldest first.
   std::map<std::string, std::set<std::string>> m_workers_by_host;  // By host.
   std::map<uint64_t, WaveState> m_waves;
-  std::unordered_map<std::string, WallTime>
-      m_ended_workers;  // Start times by id.
-  std::deque<std::string>
-      m_ended_order;  // Oldest first; to limit m_ended_workers.
+  std::unordered_map<std::string, WallTime> m_ended_workers;  // Start times.
+  std::deque<std::string> m_ended_order;  // Oldest first, for eviction.
 };
 
 /// Resources that a run of the step takes from its worker's capacity. A
--- a/packages/scheduling/include/laurelhall/scheduling/log_service.h
+++ b/packages/scheduling/include/laurelhall/scheduling/log_service.h
@@ -40,7 +40,7 @@
 
   /// Reads the ledger in the state that is applied on this host.
   ///
-  /// @param reader Called before Read() returns; no record is applied
+  /// @param reader Called before Read() returns. No record is applied
   /// meanwhile.
   virtual void Read(const std::function<void(const Ledger&)>& reader) const = 0;
 };
--- a/packages/scheduling/include/laurelhall/scheduling/organisation.h
+++ b/packages/scheduling/include/laurelhall/scheduling/organisation.h
@@ -38,7 +38,7 @@
   bool m_requires_no_key = true;  // For any queue.
   std::unordered_set<std::string> m_open_queues;
   std::unordered_map<std::string, std::string>
-      m_organisation_by_key;  // Key fingerprints.
+      m_organisation_by_key;  // By fingerprint.
   std::unordered_map<std::string, OrganisationSpec> m_organisations;
 };
 
--- a/packages/scheduling/src/crash.cc
+++ b/packages/scheduling/src/crash.cc
@@ -10,6 +10,7 @@
 // A worker that crashes with a single task may do so by chance. This is
 // unlikely within so short a time of the task's start.
 constexpr Millis kPromptCrashTime{250};
+// By Suspicion.
 constexpr std::array<uint32_t, static_cast<size_t>(Suspicion::kCount)>
     kBlameScores{0, 0, 1, 2, 3, 0};
 constexpr uint32_t kMinBlameToGiveUp = 4;
@@ -78,9 +79,9 @@
                uint32_t blame,
                Suspicion last,
                bool is_persistent) {
-  const bool is_found_cause =
+  const bool is_blamed_enough =
       !is_persistent && blame >= kMinBlameToGiveUp && last >= Suspicion::kSole;
-  return crashes >= kMostCrashes || is_found_cause;
+  return crashes >= kMostCrashes || is_blamed_enough;
 }
 
 bool MayBeOneMoment(const std::vector<LossTime>& losses) {
--- a/packages/scheduling/src/ledger.cc
+++ b/packages/scheduling/src/ledger.cc
@@ -180,14 +180,14 @@
 }
 
 void Ledger::ApplyRecord(const ConfigurationSet& record) {
-  SetIfNewer(record.configuration);
+  SetConfigurationIfNewer(record.configuration);
 }
 
 void Ledger::ApplyRecord(const ConfigurationAdopted& record) {
-  SetIfNewer(record.configuration);
+  SetConfigurationIfNewer(record.configuration);
 }
 
-void Ledger::SetIfNewer(const Configuration& configuration) {
+void Ledger::SetConfigurationIfNewer(const Configuration& configuration) {
   if (configuration.version > m_configuration.version) {
     SetConfiguration(configuration);
   }
--- a/packages/scheduling/tests/crash_test.cc
+++ b/packages/scheduling/tests/crash_test.cc
@@ -387,8 +387,8 @@
   ledger.Apply(RunEnded{TaskOfJob("a"), 1, "w3", RunEnd::kLapsed, {}});
   CHECK(Plan().empty());
   Submit("next");
-  CHECK(Plan().at("next") !=
-        "w2");  // The worker with the fewest tasks is vacated.
+  // The worker with the fewest tasks is vacated.
+  CHECK(Plan().at("next") != "w2");
   ledger.Apply(RunEnded{TaskOfJob("first-0"), 1, "w2", RunEnd::kDone, {}});
   CHECK(Plan().at("a") == "w2");
   Submit("last");
@@ -474,8 +474,8 @@
 TEST_CASE_FIXTURE(CrashLedgerFixture,
                   "Planner, worker has run a suspect and others wait, gets no "
                   "new tasks") {
-  m_now +=
-      Millis(100'000);  // The suspects are late and have the lowest urgency.
+  // The suspects are late and have the lowest urgency.
+  m_now += Millis(100'000);
   for (const char* worker : {"w1", "w3"}) {
     for (int job = 0; job < 4; ++job) {
       const std::string id = "long-" + std::to_string(job) + worker;
