--- a/packages/scheduling/include/laurelhall/scheduling/ledger.h
+++ b/packages/scheduling/include/laurelhall/scheduling/ledger.h
@@ -232,7 +232,9 @@
   void ApplyRecord(const JobTaken& record);
   void ApplyRecord(const RunProven& record);
   void ApplyRecord(const WorkerLeft& record);
-  void BeginIncarnation(const std::string& id, Worker& worker, WallTime born);
+  void BeginWorkerIncarnation(const std::string& id,
+                              Worker& worker,
+                              WallTime born);
   void AddEndedWorker(const std::string& worker, WallTime born);
 
   void ReserveResources(Worker& worker, const Job& job, size_t index);
@@ -249,9 +251,9 @@
                   const std::string& worker,
                   Suspicion suspicion);
   void CountUnassessedRuns(const std::string& id, const Worker& worker);
-  void EndIncarnation(const std::string& id,
-                      WallTime born,
-                      bool may_have_crashed);
+  void EndWorkerIncarnation(const std::string& id,
+                            WallTime born,
+                            bool may_have_crashed);
   void SetState(Job& job, JobState state);
   void UpdateQueuedJobs(const Job& job);
   void UpdateOpenJobs(const Job& job);
--- a/packages/scheduling/src/ledger.cc
+++ b/packages/scheduling/src/ledger.cc
@@ -470,7 +470,7 @@
     std::erase(m_ended_order, id);
     ++worker.earlier_lives;
   }
-  BeginIncarnation(id, worker, record.born);
+  BeginWorkerIncarnation(id, worker, record.born);
   ApplyRecord(WorkerSeen{record.info});
   worker.sequence = record.sequence;
 }
@@ -478,13 +478,13 @@
 void Ledger::ApplyRecord(const WorkerReborn& record) {
   const auto worker = m_workers.find(record.worker);
   if (worker != m_workers.end()) {
-    BeginIncarnation(record.worker, worker->second, record.born);
+    BeginWorkerIncarnation(record.worker, worker->second, record.born);
   }
 }
 
-void Ledger::BeginIncarnation(const std::string& id,
-                              Worker& worker,
-                              WallTime born) {
+void Ledger::BeginWorkerIncarnation(const std::string& id,
+                                    Worker& worker,
+                                    WallTime born) {
   if (born <= worker.born) {
     return;
   }
@@ -575,16 +575,16 @@
 }
 
 void Ledger::ApplyRecord(const LifeEnded& record) {
-  EndIncarnation(record.worker, record.born, true);
+  EndWorkerIncarnation(record.worker, record.born, true);
 }
 
 void Ledger::ApplyRecord(const WorkerLeft& record) {
-  EndIncarnation(record.worker, record.born, false);
+  EndWorkerIncarnation(record.worker, record.born, false);
 }
 
-void Ledger::EndIncarnation(const std::string& id,
-                            WallTime born,
-                            bool may_have_crashed) {
+void Ledger::EndWorkerIncarnation(const std::string& id,
+                                  WallTime born,
+                                  bool may_have_crashed) {
   const auto found = m_workers.find(id);
   if (found != m_workers.end() && born != WallTime() &&
       born < found->second.born) {
