--- a/packages/dispatch/src/leadership.cc
+++ b/packages/dispatch/src/leadership.cc
@@ -231,7 +231,8 @@
   MeasureLag();
   // Also while acts wait: after the process was frozen or suspended, none of
   // them is run before a quorum has confirmed the lead.
-  if (m_leader_lease.IsHalfOver(m_init.boot_now()) || !m_waiting_acts.empty()) {
+  if (m_leader_lease.NeedsRenewal(m_init.boot_now()) ||
+      !m_waiting_acts.empty()) {
     ConfirmLeadership();
   }
   Records records;
@@ -443,7 +444,8 @@
     // Jobs accepted by an earlier leader arrived over a longer time, so they do
     // not count as demand that arrives now.
     if (Now() - m_begun_at > kTakeoverTime) {
-      m_demand.Arrived(ledger.ServiceOf(job), m_planner.WorkOf(job), Now());
+      m_demand.RecordArrival(ledger.ServiceOf(job),
+                             m_planner.EstimatedWork(job), Now());
     }
   }
 }
@@ -559,8 +561,8 @@
   return is_stale ? Eligibility::kStale : Eligibility::kUsable;
 }
 
-scheduling::WorkerOutlook Leadership::AssessWorker(const Ledger& ledger,
-                                                   const Worker& worker) const {
+scheduling::WorkerStatus Leadership::AssessWorker(const Ledger& ledger,
+                                                  const Worker& worker) const {
   const WorkerLink& link = m_links.at(worker.info.id);
   const bool is_doubtful =
       m_init.mechanisms.Has(Mechanism::kDoubt) && Now() < link.doubtful_until;
@@ -614,7 +616,7 @@
   Records records(starts.begin(), starts.end());
   Commit(std::move(records), [this, starts](CommitOutcome outcome) {
     for (const RunStarted& start : starts) {
-      m_planner.Settled(start);
+      m_planner.ReleaseReservation(start);
     }
     if (outcome != CommitOutcome::kCommitted) {
       return;
--- a/packages/dispatch/src/leadership_p.h
+++ b/packages/dispatch/src/leadership_p.h
@@ -334,7 +334,7 @@
   SteadyTime SureAt() const {
     return m_init.mutations.is_lead_assumed
                ? Now()
-               : Now() - m_leader_lease.OverFor(m_init.boot_now());
+               : Now() - m_leader_lease.ExpiredFor(m_init.boot_now());
   }
 
   /// Runs an act with effects outside this process: at once while this host
@@ -404,9 +404,8 @@
                 const WorkerLink& link) const {
     return EligibilityOf(worker, link) == Eligibility::kUsable;
   }
-  scheduling::WorkerOutlook AssessWorker(
-      const Ledger& ledger,
-      const scheduling::Worker& worker) const;
+  scheduling::WorkerStatus AssessWorker(const Ledger& ledger,
+                                        const scheduling::Worker& worker) const;
 
   // stops.cc: which runs are to be stopped, and whether they may be.
   static void WantStop(const RunKey& key,
@@ -631,7 +630,7 @@
   Millis UpdateIdleTime(const std::string& host, double busy_cores);
   Millis EstimateDrainTime(const Ledger& ledger,
                            const scheduling::Worker& worker) const;
-  void ReportPool(const scheduling::PoolNeed& pool,
+  void ReportPool(const scheduling::PoolDemand& pool,
                   const std::vector<scheduling::PoolHost>& hosts) const;
   /// Cores that a service needs for present and arriving short work, for
   /// short work that is expected, and for its persistent tasks.
@@ -641,8 +640,8 @@
     double persistent = 0;
   };
   std::map<std::string, ServiceNeed> NeededCores(const Ledger& ledger) const;
-  scheduling::PoolWeights MakePoolWeights(
-      const std::vector<scheduling::PoolNeed>& pools);
+  scheduling::PoolMoveLimits MakePoolWeights(
+      const std::vector<scheduling::PoolDemand>& pools);
   size_t MaxNewMoves(const Ledger& ledger) const;
   void AdvanceMove(const Ledger& ledger,
                    const std::string& host,
--- a/packages/dispatch/src/moves.cc
+++ b/packages/dispatch/src/moves.cc
@@ -7,9 +7,9 @@
 
 using scheduling::Job;
 using scheduling::Mechanism;
+using scheduling::PoolDemand;
 using scheduling::PoolHost;
 using scheduling::PoolMove;
-using scheduling::PoolNeed;
 using scheduling::TaskId;
 using scheduling::Worker;
 
@@ -222,7 +222,7 @@
             : std::max(kMinQueueTime, std::chrono::duration_cast<Millis>(
                                           waiting.left * kQueueTimeShare));
     needs[ledger.ServiceOf(job)].current +=
-        waiting.core_millis / static_cast<double>(within.count());
+        waiting.core_milliseconds / static_cast<double>(within.count());
   }
   for (const auto& [id, worker] : ledger.workers()) {
     const auto persistent =
@@ -241,7 +241,7 @@
     ServiceNeed& need = needs[service.name];
     need.current =
         std::max(need.current * present_headroom,
-                 m_demand.Rate(service.name, now) * arriving_headroom);
+                 m_demand.RecentDemand(service.name, now) * arriving_headroom);
     // The need at the time at which a host that is chosen now can serve.
     need.expected =
         arriving_headroom *
@@ -256,7 +256,7 @@
   Millis longest{0};
   for (const TaskId& id : worker.active) {
     const Job& job = *ledger.FindJob(id.job);
-    const Millis whole_run_time = m_planner.RunTimeOf(job, id.step);
+    const Millis whole_run_time = m_planner.EstimatedRunTime(job, id.step);
     Millis run_so_far{0};
     for (const auto& active : job.tasks[job.IndexOf(id)].active) {
       const auto track = m_runs.find({id, active.run});
@@ -326,21 +326,21 @@
   return std::chrono::floor<Millis>(Now() - since);
 }
 
-scheduling::PoolWeights Leadership::MakePoolWeights(
-    const std::vector<PoolNeed>& pools) {
+scheduling::PoolMoveLimits Leadership::MakePoolWeights(
+    const std::vector<PoolDemand>& pools) {
   double needed = 0;
-  for (const PoolNeed& pool : pools) {
+  for (const PoolDemand& pool : pools) {
     needed += std::max(pool.needed_cores, pool.expected_cores);
   }
   const auto& mechanisms = m_init.mechanisms;
-  scheduling::PoolWeights weights;
-  weights.held_cores = RecordPeakNeed(needed);
+  scheduling::PoolMoveLimits weights;
+  weights.min_active_cores = RecordPeakNeed(needed);
   weights.may_park = mechanisms.Has(Mechanism::kParking);
   if (!mechanisms.Has(Mechanism::kLeastStay)) {
-    weights.least_stay = Millis(0);
+    weights.min_stay = Millis(0);
   }
   if (!mechanisms.Has(Mechanism::kEmptyingLimit)) {
-    weights.longest_emptying = kMaxMoveDrainTime;
+    weights.max_time_until_idle = kMaxMoveDrainTime;
   }
   return weights;
 }
@@ -358,7 +358,7 @@
   return most > ready ? most - ready : 0;
 }
 
-void Leadership::ReportPool(const PoolNeed& pool,
+void Leadership::ReportPool(const PoolDemand& pool,
                             const std::vector<PoolHost>& hosts) const {
   double cores = 0;
   double busy = 0;
@@ -378,8 +378,8 @@
           .With("cores", static_cast<int64_t>(cores))
           .With("busy_cores", static_cast<int64_t>(busy))
           .With("movable_hosts", movable)
-          .With("arriving_cores",
-                static_cast<int64_t>(m_demand.Rate(pool.service, Now())))
+          .With("arriving_cores", static_cast<int64_t>(m_demand.RecentDemand(
+                                      pool.service, Now())))
           .With("period_ms", m_demand.period())
           .With("turn_ms", m_demand.turn_length()));
 }
@@ -388,7 +388,7 @@
   const std::map<std::string, ServiceNeed> needs = NeededCores(ledger);
   const std::map<std::string, uint32_t> persistent =
       MinHostsForPersistentTasks(ledger);
-  std::vector<PoolNeed> pools;
+  std::vector<PoolDemand> pools;
   for (const auto& service : ledger.configuration().services) {
     const ServiceNeed& need = needs.at(service.name);
     const auto hosts = persistent.find(service.name);
@@ -419,7 +419,7 @@
     out.is_movable =
         state.is_up && !IsEvacuated(host) && (is_off || is_idle_worker);
     if (worker != nullptr && out.is_movable) {
-      out.empties_in = EstimateDrainTime(ledger, *worker);
+      out.time_until_idle = EstimateDrainTime(ledger, *worker);
     }
     const bool counts_for_pool =
         worker == nullptr ? is_off || move != m_moves.end() : Serves(*worker);
@@ -430,12 +430,12 @@
   const SteadyTime now = Now();
   if (now >= m_next_report) {
     m_next_report = now + kReportPeriod;
-    for (const PoolNeed& pool : pools) {
+    for (const PoolDemand& pool : pools) {
       ReportPool(pool, hosts);
     }
   }
-  scheduling::PoolWeights weights = MakePoolWeights(pools);
-  weights.most_moves = std::min(weights.most_moves, MaxNewMoves(ledger));
+  scheduling::PoolMoveLimits weights = MakePoolWeights(pools);
+  weights.max_moves = std::min(weights.max_moves, MaxNewMoves(ledger));
   for (const PoolMove& move :
        PlanMoves(pools, std::move(hosts), weights, now)) {
     const std::string& from = m_inventory[move.host].pool;
@@ -474,7 +474,7 @@
   const bool is_empty = std::all_of(
       incarnations.begin(), incarnations.end(), [&](const std::string& life) {
         return ledger.FindWorker(life)->active.empty() &&
-               !m_planner.HasPlanned(life);
+               !m_planner.HasReservationOn(life);
       });
   if (!is_empty) {
     return;
--- a/packages/dispatch/src/reports.cc
+++ b/packages/dispatch/src/reports.cc
@@ -8,7 +8,7 @@
 namespace laurelhall::dispatch {
 
 using scheduling::Job;
-using scheduling::StartOutlook;
+using scheduling::StartDiagnosis;
 using scheduling::Worker;
 
 namespace {
--- a/packages/dispatch/src/waves.cc
+++ b/packages/dispatch/src/waves.cc
@@ -318,7 +318,7 @@
       now - track.chosen_at > kMaxDrainTime && !use.has_persistent;
   const bool is_settled =
       now - track.chosen_at > kSettleTime &&
-      (worker == nullptr || !m_planner.HasPlanned(worker->info.id));
+      (worker == nullptr || !m_planner.HasReservationOn(worker->info.id));
   if (!is_settled || (!use.is_empty && !may_cut_off) ||
       CountHostsDown(wave, host) >= wave.opened.most_at_once) {
     return;
--- a/packages/scheduling/include/laurelhall/scheduling/demand.h
+++ b/packages/scheduling/include/laurelhall/scheduling/demand.h
@@ -25,11 +25,11 @@
       : m_mechanisms(mechanisms) {}
 
   /// Records work in core-milliseconds that arrived for a service.
-  void Arrived(const std::string& service, double work, SteadyTime now);
+  void RecordArrival(const std::string& service, double work, SteadyTime now);
 
   /// The number of cores that the work which arrived lately (in up to three
   /// bins of 250 ms) keeps busy.
-  double Rate(const std::string& service, SteadyTime now) const;
+  double RecentDemand(const std::string& service, SteadyTime now) const;
 
   /// The number of cores that the work expected around `now + ahead` needs;
   /// zero if neither turns nor a period are recognised.
--- a/packages/scheduling/include/laurelhall/scheduling/leader_lease.h
+++ b/packages/scheduling/include/laurelhall/scheduling/leader_lease.h
@@ -25,7 +25,7 @@
   bool IsHeld(BootTime now) const { return now - m_asked_at < m_length; }
 
   /// How long ago the lease expired; zero while it is held.
-  Millis OverFor(BootTime now) const {
+  Millis ExpiredFor(BootTime now) const {
     const auto expired_for =
         std::chrono::ceil<Millis>(now - m_asked_at) - m_length;
     return expired_for > Millis(0) ? expired_for : Millis(0);
@@ -33,7 +33,7 @@
 
   /// Whether half of the lease has passed, when it is to be renewed so that it
   /// does not expire between two acts.
-  bool IsHalfOver(BootTime now) const {
+  bool NeedsRenewal(BootTime now) const {
     return now - m_asked_at >= m_length / 2;
   }
 
--- a/packages/scheduling/include/laurelhall/scheduling/planner.h
+++ b/packages/scheduling/include/laurelhall/scheduling/planner.h
@@ -16,7 +16,7 @@
 
 /// The leader's own view of a worker, which is not part of the committed
 /// ledger.
-struct WorkerOutlook {
+struct WorkerStatus {
   /// Was reached lately, is not leaving, and may be given work.
   bool is_usable = false;
   /// Lately failed tasks of a kind that succeeds on other workers.
@@ -27,7 +27,7 @@
   /// task is placed beside it.
   bool is_quarantined = false;
   /// Every run that is active there has been seen at work.
-  bool is_settled = false;
+  bool all_runs_seen = false;
 };
 
 /// What a plan is computed from.
@@ -36,15 +36,15 @@
   SteadyTime now{};
   WallTime wall_now{};
   /// Called only for workers of services that have a task to start.
-  std::function<WorkerOutlook(const Worker&)> status_of;
+  std::function<WorkerStatus(const Worker&)> status_of;
   /// When the leader first saw each job, by job. Deadlines count from there.
   const std::unordered_map<std::string, SteadyTime>& first_seen_at;
 };
 
 /// The work of a job that is not running yet, without persistent tasks.
 struct PendingWork {
-  double core_millis = 0;  ///< In core-milliseconds.
-  Millis left{0};          ///< Time until the job should be done.
+  double core_milliseconds = 0;  ///< In core-milliseconds.
+  Millis left{0};                ///< Time until the job should be done.
   /// The job can no longer be done in time to be of use to its caller.
   bool is_hopeless = false;
 };
@@ -69,7 +69,7 @@
 const char* StartObstacleName(StartObstacle obstacle);
 
 /// What keeps an open step from starting its next task.
-struct StartOutlook {
+struct StartDiagnosis {
   uint32_t occurrence = 0;
   uint32_t step = 0;
   uint32_t tasks = 0;  ///< Tasks that are neither done nor running.
@@ -102,11 +102,11 @@
 
   /// Releases the reservation of a planned start, once the start is applied or
   /// will never be.
-  void Settled(const RunStarted& start);
+  void ReleaseReservation(const RunStarted& start);
 
   /// Whether the reservation of a start on a worker is held. A commit takes
   /// longer while the leader is short of processor time.
-  bool HasPlanned(const std::string& worker) const;
+  bool HasReservationOn(const std::string& worker) const;
 
   /// The work of a job that is not running yet, and the time left for it.
   PendingWork Waiting(const Ledger& ledger,
@@ -116,11 +116,11 @@
 
   /// The expected run time of a task of a job's step: the estimate, corrected
   /// by what was learned of the queue.
-  Millis RunTimeOf(const Job& job, uint32_t step) const;
+  Millis EstimatedRunTime(const Job& job, uint32_t step) const;
 
   /// The expected work of a whole job in core-milliseconds, without persistent
   /// tasks.
-  double WorkOf(const Job& job) const;
+  double EstimatedWork(const Job& job) const;
 
   /// Learns from a task of a queue how long it took compared with its estimate.
   void Learn(const std::string& queue, Millis estimate, Millis taken);
@@ -128,8 +128,8 @@
   /// Tells why the first open step of a job that has tasks left to start does
   /// not start them; nothing when there is no such step. Meant for reports:
   /// visits all workers.
-  std::optional<StartOutlook> Explain(const PlanInput& input,
-                                      const Job& job) const;
+  std::optional<StartDiagnosis> Explain(const PlanInput& input,
+                                        const Job& job) const;
 
   /// Plans no start of a job before `until`, because a worker refused its last
   /// one.
@@ -156,10 +156,10 @@
                   uint32_t occurrence,
                   SteadyTime deadline,
                   SteadyTime now) const;
-  StartOutlook DiagnoseStep(const PlanInput& input,
-                            const Job& job,
-                            uint32_t occurrence,
-                            uint32_t step) const;
+  StartDiagnosis DiagnoseStep(const PlanInput& input,
+                              const Job& job,
+                              uint32_t occurrence,
+                              uint32_t step) const;
 
   /// The workers of a service; valid until the ledger's workers change.
   const std::vector<const Worker*>& WorkersOf(const Ledger& ledger,
--- a/packages/scheduling/include/laurelhall/scheduling/pools.h
+++ b/packages/scheduling/include/laurelhall/scheduling/pools.h
@@ -9,7 +9,7 @@
 namespace laurelhall::scheduling {
 
 /// A pool of hosts and the demand of the service that it belongs to.
-struct PoolNeed {
+struct PoolDemand {
   std::string service;
   bool is_spare = false;      ///< For parked hosts, which serve nobody.
   double needed_cores = 0;    ///< For the work at hand and what arrives.
@@ -22,11 +22,11 @@
   std::string host;
   std::string service;  ///< Whose pool it is in or is moving to.
   double cores = 0;
-  double busy_cores = 0;    ///< By running tasks, persistent ones aside.
-  Millis empties_in{0};     ///< Until its running tasks have ended.
-  Millis idle_for{0};       ///< Since it last ran such tasks.
-  bool is_movable = false;  ///< Up, not pinned, and under no other operation.
-  SteadyTime since{};       ///< When it came into this pool.
+  double busy_cores = 0;      ///< By running tasks, persistent ones aside.
+  Millis time_until_idle{0};  ///< Until its running tasks have ended.
+  Millis idle_for{0};         ///< Since it last ran such tasks.
+  bool is_movable = false;    ///< Up, not pinned, and under no other operation.
+  SteadyTime since{};         ///< When it came into this pool.
 };
 
 /// A host and the service whose pool it is to move to.
@@ -36,12 +36,12 @@
 };
 
 /// Limits on moves, which hold for every deployment.
-struct PoolWeights {
+struct PoolMoveLimits {
   /// A host stays in a pool for at least this long. A move there and back takes
   /// this long twice over, and the host serves nobody meanwhile.
-  Millis least_stay{3'000};
+  Millis min_stay{3'000};
   /// A host whose running tasks take longer than this to end is not moved.
-  Millis longest_emptying{1'500};
+  Millis max_time_until_idle{1'500};
   /// A host that has been idle for this long is parked: the longest period that
   /// DemandMeter recognises has passed without a need for it. Parking sooner
   /// costs more than it saves, as a parked host returns only after its move,
@@ -50,13 +50,13 @@
   /// Cores that parking leaves in use: the most that all services together
   /// needed in the last seconds. Services rush one after the other, so that
   /// their sum is far steadier than the need of each.
-  double held_cores = 0;
+  double min_active_cores = 0;
   /// Hosts that each service keeps whatever it needs, to serve the start of a
   /// rush until other hosts arrive.
   uint32_t min_hosts = 3;
   /// Most moves in one plan, because hosts that move together are out of
   /// service together.
-  size_t most_moves = 12;
+  size_t max_moves = 12;
   bool may_park = true;
 };
 
@@ -68,9 +68,9 @@
 ///   possible, else from a service with high coverage, as long as the donor
 ///   stays better covered than the receiver becomes. Expected demand takes no
 ///   host that is needed now.
-std::vector<PoolMove> PlanMoves(const std::vector<PoolNeed>& pools,
+std::vector<PoolMove> PlanMoves(const std::vector<PoolDemand>& pools,
                                 std::vector<PoolHost> hosts,
-                                const PoolWeights& weights,
+                                const PoolMoveLimits& weights,
                                 SteadyTime now);
 
 }  // namespace laurelhall::scheduling
--- a/packages/scheduling/src/demand.cc
+++ b/packages/scheduling/src/demand.cc
@@ -29,9 +29,9 @@
   return std::chrono::floor<Millis>(time - *m_first_bin_at) / kBin;
 }
 
-void DemandMeter::Arrived(const std::string& service,
-                          double work,
-                          SteadyTime now) {
+void DemandMeter::RecordArrival(const std::string& service,
+                                double work,
+                                SteadyTime now) {
   if (work <= 0) {
     return;  // Only persistent tasks, which stay once they have come.
   }
@@ -68,7 +68,8 @@
   return work;
 }
 
-double DemandMeter::Rate(const std::string& service, SteadyTime now) const {
+double DemandMeter::RecentDemand(const std::string& service,
+                                 SteadyTime now) const {
   const auto found = m_bins_of.find(service);
   if (found == m_bins_of.end()) {
     return 0;
--- a/packages/scheduling/src/planner.cc
+++ b/packages/scheduling/src/planner.cc
@@ -170,7 +170,7 @@
 
   /// Counts the workers that may be given work, and those of them with room for
   /// a task.
-  void Count(const Candidate& candidate, StartOutlook& diagnosis) {
+  void Count(const Candidate& candidate, StartDiagnosis& diagnosis) {
     const Resources room = RoomOf(candidate.job->spec.steps[candidate.step]);
     const auto places =
         m_places_of.find(m_input.ledger.ServiceOf(*candidate.job));
@@ -244,7 +244,7 @@
   struct Place {
     const Worker* worker = nullptr;
     Resources room;
-    std::optional<WorkerOutlook> status;  // Set by StatusOf().
+    std::optional<WorkerStatus> status;  // Set by StatusOf().
     bool has_persistent = false;  // This plan puts a persistent task there.
     bool has_suspect = false;     // This plan puts a suspect there.
     // Tasks of a gang that is being placed, by step, which are not reserved
@@ -310,7 +310,7 @@
 
   // Asks for the status only when a place is otherwise the best choice, since
   // most places have no room or cost more than an earlier one.
-  const WorkerOutlook& StatusOf(Place& place) const {
+  const WorkerStatus& StatusOf(Place& place) const {
     if (!place.status) {
       place.status = m_input.status_of(*place.worker);
     }
@@ -462,7 +462,7 @@
         worker.active.size() <= worker.persistent_runs + allowed_suspects;
     return has_no_other_tasks && HasNoPlannedTask(place) &&
            !HasNewSuspect(place) &&
-           (worker.active.empty() || StatusOf(place).is_settled);
+           (worker.active.empty() || StatusOf(place).all_runs_seen);
   }
 
   // Whether some suspect has been started, or is planned, that may still crash
@@ -639,7 +639,7 @@
       if (step.spread_limit > 0 && here >= step.spread_limit) {
         continue;
       }
-      const WorkerOutlook& status = StatusOf(place);
+      const WorkerStatus& status = StatusOf(place);
       const bool is_risk = is_last_attempt && places.size() > 1 &&
                            (task.failed_on == info.id || status.is_unreliable);
       if (!status.is_usable || is_risk || status.is_quarantined) {
@@ -770,7 +770,7 @@
          deadline;
 }
 
-double Planner::WorkOf(const Job& job) const {
+double Planner::EstimatedWork(const Job& job) const {
   double work = 0;
   for (const StepSpec& step : job.spec.steps) {
     if (!step.is_persistent) {
@@ -789,10 +789,10 @@
     const StepSpec& step = job.StepOf(index);
     const Task& task = job.tasks[index];
     if (!task.is_done && task.active.empty() && !step.is_persistent) {
-      waiting.core_millis += CoreMilliseconds(step);
+      waiting.core_milliseconds += CoreMilliseconds(step);
     }
   }
-  waiting.core_millis *= RunTimeRatio(job.queue);
+  waiting.core_milliseconds *= RunTimeRatio(job.queue);
   const SteadyTime deadline =
       DeadlineOf(ledger.FindQueueByName(job.queue), job, first_seen_at);
   const SteadyTime limit =
@@ -803,7 +803,7 @@
   return waiting;
 }
 
-Millis Planner::RunTimeOf(const Job& job, uint32_t step) const {
+Millis Planner::EstimatedRunTime(const Job& job, uint32_t step) const {
   return Scaled(job.spec.steps[step].estimate, RunTimeRatio(job.queue));
 }
 
@@ -939,11 +939,11 @@
 
 // Plans the step on a copy of the planner, which has the same reservations, so
 // that nothing is reserved here.
-StartOutlook Planner::DiagnoseStep(const PlanInput& input,
-                                   const Job& job,
-                                   uint32_t occurrence,
-                                   uint32_t step) const {
-  StartOutlook diagnosis{occurrence, step};
+StartDiagnosis Planner::DiagnoseStep(const PlanInput& input,
+                                     const Job& job,
+                                     uint32_t occurrence,
+                                     uint32_t step) const {
+  StartDiagnosis diagnosis{occurrence, step};
   const size_t first = job.IndexOf({job.id, occurrence, step, 0});
   uint32_t reserved = 0;
   for (uint32_t index = 0; index < job.spec.steps[step].count; ++index) {
@@ -987,11 +987,11 @@
   return diagnosis;
 }
 
-std::optional<StartOutlook> Planner::Explain(const PlanInput& input,
-                                             const Job& job) const {
-  std::optional<StartOutlook> first;
+std::optional<StartDiagnosis> Planner::Explain(const PlanInput& input,
+                                               const Job& job) const {
+  std::optional<StartDiagnosis> first;
   VisitOpenSteps(job, input.wall_now, [&](uint32_t occurrence, uint32_t step) {
-    const StartOutlook diagnosis = DiagnoseStep(input, job, occurrence, step);
+    const StartDiagnosis diagnosis = DiagnoseStep(input, job, occurrence, step);
     if (diagnosis.tasks > 0) {
       first = diagnosis;
     }
@@ -1004,7 +1004,7 @@
   return kObstacleNames[static_cast<size_t>(obstacle)];
 }
 
-void Planner::Settled(const RunStarted& start) {
+void Planner::ReleaseReservation(const RunStarted& start) {
   const auto found = m_reservations.find({start.task, start.run});
   if (found == m_reservations.end()) {
     return;
@@ -1033,7 +1033,7 @@
   }
 }
 
-bool Planner::HasPlanned(const std::string& worker) const {
+bool Planner::HasReservationOn(const std::string& worker) const {
   const auto room = m_reserved_room.find(worker);
   return room != m_reserved_room.end() && room->second != Resources();
 }
--- a/packages/scheduling/src/pools.cc
+++ b/packages/scheduling/src/pools.cc
@@ -17,12 +17,12 @@
 // far.
 class MovePlanner {
  public:
-  MovePlanner(const std::vector<PoolNeed>& pools,
+  MovePlanner(const std::vector<PoolDemand>& pools,
               std::vector<PoolHost>& hosts,
-              const PoolWeights& weights,
+              const PoolMoveLimits& weights,
               SteadyTime now)
       : m_hosts(hosts), m_weights(weights), m_now(now) {
-    for (const PoolNeed& pool : pools) {
+    for (const PoolDemand& pool : pools) {
       if (pool.is_spare) {
         m_spare_pool = pool.service;
         continue;
@@ -42,7 +42,7 @@
     for (auto& [service, donors] : m_donors) {
       std::stable_sort(donors.begin(), donors.end(),
                        [](const PoolHost* a, const PoolHost* b) {
-                         return a->empties_in < b->empties_in;
+                         return a->time_until_idle < b->time_until_idle;
                        });
     }
   }
@@ -50,10 +50,10 @@
   std::vector<PoolMove> Plan() {
     std::vector<PoolMove> moves;
     m_needed = &m_needed_now;
-    while (moves.size() < m_weights.most_moves && MoveToLeastCovered(moves)) {
+    while (moves.size() < m_weights.max_moves && MoveToLeastCovered(moves)) {
     }
     m_needed = &m_needed_soon;
-    while (moves.size() < m_weights.most_moves && MoveToLeastCovered(moves)) {
+    while (moves.size() < m_weights.max_moves && MoveToLeastCovered(moves)) {
     }
     Park(moves);
     return moves;
@@ -125,9 +125,9 @@
 
   bool MayMove(const PoolHost& host, const std::string& to) const {
     return host.is_movable && host.service != to &&
-           host.empties_in <= m_weights.longest_emptying &&
+           host.time_until_idle <= m_weights.max_time_until_idle &&
            (host.service == m_spare_pool ||
-            m_now - host.since >= m_weights.least_stay);
+            m_now - host.since >= m_weights.min_stay);
   }
 
   // Whether the service of a host that may move can do without it.
@@ -153,7 +153,7 @@
     }
     const double coverage = std::min(Coverage(host.service), 100.0);
     const double seconds_until_idle =
-        std::chrono::duration<double>(host.empties_in).count();
+        std::chrono::duration<double>(host.time_until_idle).count();
     return seconds_until_idle + 1 / (0.1 + coverage);
   }
 
@@ -194,8 +194,8 @@
           m_needed->contains(host->service) &&
           m_host_count.at(host->service) > m_min_hosts.at(host->service) &&
           Coverage(host->service, -host->cores) >= 1 &&
-          active_cores - host->cores >= m_weights.held_cores;
-      if (is_unneeded && moves.size() < m_weights.most_moves) {
+          active_cores - host->cores >= m_weights.min_active_cores;
+      if (is_unneeded && moves.size() < m_weights.max_moves) {
         active_cores -= host->cores;
         Move(*host, m_spare_pool, moves);
       }
@@ -203,7 +203,7 @@
   }
 
   std::vector<PoolHost>& m_hosts;
-  const PoolWeights& m_weights;
+  const PoolMoveLimits& m_weights;
   const SteadyTime m_now;
   std::string m_spare_pool;
   Cores m_needed_now;
@@ -219,9 +219,9 @@
 
 }  // namespace
 
-std::vector<PoolMove> PlanMoves(const std::vector<PoolNeed>& pools,
+std::vector<PoolMove> PlanMoves(const std::vector<PoolDemand>& pools,
                                 std::vector<PoolHost> hosts,
-                                const PoolWeights& weights,
+                                const PoolMoveLimits& weights,
                                 SteadyTime now) {
   return MovePlanner(pools, hosts, weights, now).Plan();
 }
--- a/packages/scheduling/tests/crash_test.cc
+++ b/packages/scheduling/tests/crash_test.cc
@@ -193,18 +193,18 @@
   std::map<std::string, std::string> Plan() {
     PlanInput input{ledger, SteadyTime(m_now), WallTime(),
                     [this](const Worker& worker) {
-                      WorkerOutlook outlook;
+                      WorkerStatus outlook;
                       outlook.is_usable = true;
                       outlook.is_quarantined =
                           !worker.suspects.empty() && !m_is_settled;
-                      outlook.is_settled = m_is_settled;
+                      outlook.all_runs_seen = m_is_settled;
                       return outlook;
                     },
                     m_seen_at};
     std::map<std::string, std::string> starts;
     for (const RunStarted& start : m_planner.Plan(input)) {
       ledger.Apply(start);
-      m_planner.Settled(start);
+      m_planner.ReleaseReservation(start);
       starts[start.task.job] = start.worker;
     }
     return starts;
--- a/packages/scheduling/tests/planner_test.cc
+++ b/packages/scheduling/tests/planner_test.cc
@@ -53,7 +53,7 @@
     const auto status_of = [this](const Worker& worker) {
       ++status_queries;
       const auto found = statuses.find(worker.info.id);
-      return found == statuses.end() ? WorkerOutlook() : found->second;
+      return found == statuses.end() ? WorkerStatus() : found->second;
     };
     return planner.Plan({ledger, now, WallTime(), status_of, first_seen_at});
   }
@@ -61,13 +61,13 @@
   void Commit(const std::vector<RunStarted>& starts) {
     for (const RunStarted& start : starts) {
       ledger.Apply(start);
-      planner.Settled(start);
+      planner.ReleaseReservation(start);
     }
   }
 
   Ledger ledger;
   Planner planner;
-  std::map<std::string, WorkerOutlook> statuses;
+  std::map<std::string, WorkerStatus> statuses;
   std::unordered_map<std::string, SteadyTime> first_seen_at;
   SteadyTime now{hours(1)};
   int status_queries = 0;  // Calls for a worker's status.
@@ -112,7 +112,7 @@
   CHECK(second.size() == 4);
   ledger.Apply(WorkerGone{"w2"});
   for (const RunStarted& start : second) {
-    planner.Settled(start);
+    planner.ReleaseReservation(start);
   }
   CHECK(Plan().empty());
   AddWorker("w3");
@@ -303,7 +303,7 @@
     for (int turn = 0; turn < turns; ++turn) {
       for (int step = 0; step < 20; ++step) {
         now += Millis(100);
-        meter.Arrived(turn % 2 == 0 ? "a" : "b", 1'000, now);
+        meter.RecordArrival(turn % 2 == 0 ? "a" : "b", 1'000, now);
       }
     }
     meter.Learn(now);
@@ -337,8 +337,8 @@
 
 TEST_CASE_FIXTURE(DemandFixture, "DemandMeter, recent work, rate in cores") {
   AddTurns(1);
-  CHECK(meter.Rate("a", now) == doctest::Approx(10).epsilon(0.2));
-  CHECK(meter.Rate("b", now) == 0);
+  CHECK(meter.RecentDemand("a", now) == doctest::Approx(10).epsilon(0.2));
+  CHECK(meter.RecentDemand("b", now) == 0);
 }
 
 class PoolsFixture {
@@ -356,11 +356,11 @@
 
   std::vector<PoolMove> Plan() { return PlanMoves(pools, hosts, weights, now); }
 
-  std::vector<PoolNeed> pools{{"a", false, 0},
-                              {"b", false, 0},
-                              {"off", true, 0}};
+  std::vector<PoolDemand> pools{{"a", false, 0},
+                                {"b", false, 0},
+                                {"off", true, 0}};
   std::vector<PoolHost> hosts;
-  PoolWeights weights;
+  PoolMoveLimits weights;
   SteadyTime now{hours(1)};
 };
 
@@ -414,7 +414,7 @@
   for (PoolHost& host : hosts) {
     host.idle_for = weights.park_after;
   }
-  weights.held_cores = 12 * 16;
+  weights.min_active_cores = 12 * 16;
   CHECK(Plan().size() == 4);
 }
 
