--- a/bench/dispatch_bench.cc
+++ b/bench/dispatch_bench.cc
@@ -108,7 +108,7 @@
     if (worker.is_over) {
       Answer([done = std::move(done)] {
         HoldReply reply;
-        reply.outcome = CallOutcome::kOtherLife;
+        reply.outcome = CallOutcome::kOtherIncarnation;
         done(reply);
       });
       return;
@@ -184,7 +184,7 @@
     }
     HoldReply reply;
     reply.outcome =
-        worker.is_over ? CallOutcome::kOtherLife : CallOutcome::kDone;
+        worker.is_over ? CallOutcome::kOtherIncarnation : CallOutcome::kDone;
     reply.clock = Reply().clock;
     for (const auto& [task, run] : worker.running) {
       reply.running.push_back({task, run.run, {}, 50, 0});
@@ -198,9 +198,9 @@
   std::map<std::string, Worker> m_workers;
 };
 
-class NoHosts final : public HostPort {
+class NoHosts final : public HostAdminPort {
  public:
-  size_t acts_at_once() const override { return 1; }
+  size_t max_concurrent_acts() const override { return 1; }
   void Maintain(HostAct, std::function<void(HostActOutcome)>) override {}
   void Move(HostAct, std::function<void(HostActOutcome)>) override {}
   void List(const std::string&, std::function<void(HostPage)>) override {}
--- a/packages/dispatch/include/laurelhall/dispatch/dispatcher.h
+++ b/packages/dispatch/include/laurelhall/dispatch/dispatcher.h
@@ -102,7 +102,7 @@
   RelayBounds relays;
   TimerService* timers = nullptr;  ///< Runs callbacks on the dispatch thread.
   WorkerPort* workers = nullptr;
-  HostPort* hosts = nullptr;
+  HostAdminPort* hosts = nullptr;
   /// Queues a function for the dispatch thread. Thread-safe.
   std::function<void(std::function<void()>)> post;
   /// Sends one request to the leader when that is another host, without a
--- a/packages/dispatch/include/laurelhall/dispatch/ports.h
+++ b/packages/dispatch/include/laurelhall/dispatch/ports.h
@@ -16,15 +16,16 @@
 /// kRefused and kNotReached, nothing was done.
 enum class CallOutcome {
   kDone,
-  kFenced,      ///< The worker has taken orders from a newer leader.
-  kOldRun,      ///< This run, or a later one, was stopped or ended there.
-  kLate,        ///< The requested lease end has passed.
-  kNoRoom,      ///< The worker has too little free capacity.
-  kNoTicket,    ///< The worker is not permitted to run the task.
-  kOtherLife,   ///< Another incarnation answers there; the addressed one ended.
-  kRefused,     ///< The order is malformed, or the worker is unhealthy.
-  kNotReached,  ///< No connection: nothing was sent.
-  kUnknown,     ///< Sent but not answered; may still be carried out later.
+  kFenced,            ///< The worker has taken orders from a newer leader.
+  kOldRun,            ///< This run, or a later one, was stopped or ended there.
+  kLate,              ///< The requested lease end has passed.
+  kNoRoom,            ///< The worker has too little free capacity.
+  kNoTicket,          ///< The worker is not permitted to run the task.
+  kOtherIncarnation,  ///< Another incarnation answers there; the addressed one
+                      ///< ended.
+  kRefused,           ///< The order is malformed, or the worker is unhealthy.
+  kNotReached,        ///< No connection: nothing was sent.
+  kUnknown,  ///< Sent but not answered; may still be carried out later.
   kCount,
 };
 
@@ -34,7 +35,7 @@
 /// Low bits of a fence: the number of the worker's incarnation within the term.
 /// The leader's term is in the bits above. With it, a later incarnation refuses
 /// an order that was meant for an earlier one and arrives late.
-constexpr int kFenceLifeBits = 16;
+constexpr int kFenceIncarnationBits = 16;
 
 /// Identifies a worker and tells how to connect to it.
 struct WorkerAddress {
@@ -175,12 +176,12 @@
 };
 
 /// Acts on hosts. Threads and callbacks are as with WorkerPort.
-class HostPort {
+class HostAdminPort {
  public:
-  virtual ~HostPort() = default;
+  virtual ~HostAdminPort() = default;
 
   /// How many acts are carried out concurrently; further ones are queued.
-  virtual size_t acts_at_once() const = 0;
+  virtual size_t max_concurrent_acts() const = 0;
 
   virtual void Maintain(HostAct act,
                         std::function<void(HostActOutcome)> done) = 0;
--- a/packages/dispatch/src/leadership_p.h
+++ b/packages/dispatch/src/leadership_p.h
@@ -319,7 +319,7 @@
   uint64_t FenceOf(const WorkerLink& link) const {
     return m_init.mutations.is_fence_old
                ? 0
-               : (m_term << kFenceLifeBits) + link.number;
+               : (m_term << kFenceIncarnationBits) + link.number;
   }
   /// Adds the records to the next batch. `done` is called once, unless this
   /// leadership ends first.
--- a/packages/dispatch/src/moves.cc
+++ b/packages/dispatch/src/moves.cc
@@ -354,7 +354,7 @@
     const bool is_empty = worker == nullptr || worker->active.empty();
     ready += track.ordered_at == SteadyTime() && is_empty ? 1 : 0;
   }
-  const size_t most = kActionsAhead * m_init.hosts->acts_at_once();
+  const size_t most = kActionsAhead * m_init.hosts->max_concurrent_acts();
   return most > ready ? most - ready : 0;
 }
 
--- a/packages/dispatch/src/orders.cc
+++ b/packages/dispatch/src/orders.cc
@@ -257,7 +257,7 @@
             .With("term", m_term)
             .With("outcome", CallOutcomeName(reply.outcome)));
   }
-  if (link != m_links.end() && reply.outcome < CallOutcome::kOtherLife) {
+  if (link != m_links.end() && reply.outcome < CallOutcome::kOtherIncarnation) {
     RecordContact(link->second, reply.clock);
   }
   switch (reply.outcome) {
@@ -268,7 +268,7 @@
       track.percent_since = Now();
       track.work_since = Now();
       break;
-    case CallOutcome::kOtherLife:
+    case CallOutcome::kOtherIncarnation:
       EndReplacedIncarnation(track.worker);
       break;
     case CallOutcome::kFenced:
@@ -390,7 +390,7 @@
     return;  // For an earlier incarnation.
   }
   track.is_stop_under_way = false;
-  if (link != m_links.end() && reply.outcome < CallOutcome::kOtherLife) {
+  if (link != m_links.end() && reply.outcome < CallOutcome::kOtherIncarnation) {
     RecordContact(link->second, reply.clock);
   }
   if (reply.outcome == CallOutcome::kDone ||
@@ -399,7 +399,7 @@
     // From now on the worker lists the run as ended, or never had it.
     track.start = StartStage::kSettled;
     track.settled_at = Now();
-  } else if (reply.outcome == CallOutcome::kOtherLife) {
+  } else if (reply.outcome == CallOutcome::kOtherIncarnation) {
     EndReplacedIncarnation(track.worker);
   } else {
     track.next_try = Now() + kOrderRetryDelay;
@@ -497,7 +497,7 @@
   }
   WorkerLink& link = found->second;
   link.is_renewal_under_way = false;
-  if (reply.outcome == CallOutcome::kOtherLife) {
+  if (reply.outcome == CallOutcome::kOtherIncarnation) {
     EndReplacedIncarnation(worker);
   } else if (reply.outcome == CallOutcome::kDone && reply.born == link.born) {
     RecordContact(link, reply.clock);
@@ -573,7 +573,7 @@
   }
   WorkerLink& link = found->second;
   link.is_hold_under_way = false;
-  if (reply.outcome == CallOutcome::kOtherLife) {
+  if (reply.outcome == CallOutcome::kOtherIncarnation) {
     EndReplacedIncarnation(worker);
     return;
   }
--- a/packages/dispatch/tests/world.cc
+++ b/packages/dispatch/tests/world.cc
@@ -450,7 +450,7 @@
  private:
   uint64_t OrderTerm(uint64_t fence) {
     m_world.m_relayed += m_is_relay ? 1 : 0;
-    return m_is_relay ? fence >> kFenceLifeBits : m_host.term;
+    return m_is_relay ? fence >> kFenceIncarnationBits : m_host.term;
   }
 
   bool IsCut(const std::string& id) const { return m_world.m_cut.contains(id); }
@@ -543,11 +543,11 @@
 
 // Actions on hosts. Maintained hosts lose their worker and come back with
 // another one, or with the same id if has_same_ids is set.
-class World::Hosts final : public HostPort {
+class World::Hosts final : public HostAdminPort {
  public:
   Hosts(World& world, HostView& host) : m_world(world), m_host(host) {}
 
-  size_t acts_at_once() const override { return 1; }
+  size_t max_concurrent_acts() const override { return 1; }
 
   void Maintain(HostAct act, std::function<void(HostActOutcome)> to) override {
     const auto done = m_host.WhenAwake(std::move(to));
