--- a/packages/daemon/src/schedule_metrics.cc
+++ b/packages/daemon/src/schedule_metrics.cc
@@ -123,7 +123,7 @@
   return prometheus::TextSerializer().Serialize(m_registry.Collect());
 }
 
-void ScheduleMetrics::ShowSight(const dispatch::DispatchSight& sight) {
+void ScheduleMetrics::ShowSight(const dispatch::SchedulerStatus& sight) {
   const std::lock_guard lock(m_sight_mutex);
   m_tick_lag->Set(std::chrono::duration<double>(sight.tick_lag).count());
   m_relays->Set(static_cast<double>(sight.relays));
--- a/packages/daemon/src/schedule_metrics_p.h
+++ b/packages/daemon/src/schedule_metrics_p.h
@@ -35,7 +35,7 @@
   }
 
   /// Where a control host's sight is read when the page is asked for.
-  void SetSight(std::function<dispatch::DispatchSight()> sight) {
+  void SetSight(std::function<dispatch::SchedulerStatus()> sight) {
     m_sight = std::move(sight);
   }
 
@@ -46,7 +46,7 @@
   std::string Page();
 
  private:
-  void ShowSight(const dispatch::DispatchSight& sight);
+  void ShowSight(const dispatch::SchedulerStatus& sight);
 
   static constexpr size_t kKinds = std::variant_size_v<dispatch::Request>;
   static constexpr size_t kOutcomes =
@@ -62,7 +62,7 @@
   prometheus::Family<prometheus::Gauge>* m_workers = nullptr;
   prometheus::Family<prometheus::Gauge>* m_waits = nullptr;
   std::function<dispatch::DispatchCounters()> m_source;
-  std::function<dispatch::DispatchSight()> m_sight;
+  std::function<dispatch::SchedulerStatus()> m_sight;
   std::mutex m_sight_mutex;  // A page's gauges of the sight are set together.
 };
 
--- a/packages/daemon/tests/schedule_metrics_test.cc
+++ b/packages/daemon/tests/schedule_metrics_test.cc
@@ -22,7 +22,7 @@
 }
 
 TEST_CASE("ScheduleMetrics, what a leader sees, stands on the page") {
-  dispatch::DispatchSight sight;
+  dispatch::SchedulerStatus sight;
   sight.tick_lag = Millis(60);
   sight.open_jobs = 9;
   sight.waiting_jobs = 4;
--- a/packages/dispatch/include/laurelhall/dispatch/dispatcher.h
+++ b/packages/dispatch/include/laurelhall/dispatch/dispatcher.h
@@ -28,13 +28,13 @@
 struct RelayBounds {
   /// Up to this many workers are called by the leader itself; starting tasks
   /// on them leaves it enough processor time.
-  size_t own_workers = 128;
+  size_t max_direct_workers = 128;
   /// One relay is added per this many workers, as long as there are control
   /// hosts to take the role.
   size_t workers_per_relay = 48;
   /// The most connections to workers that a leader opens before its relays have
   /// joined: a quarter of a small host's file descriptors.
-  size_t most_direct = 1'024;
+  size_t max_direct_connections = 1'024;
 };
 
 /// Event counts since the process started.
@@ -58,7 +58,7 @@
 
 /// A leader's view of its work, at most one second old. All values are 0 on a
 /// host that does not lead.
-struct DispatchSight {
+struct SchedulerStatus {
   Millis tick_lag{0};         ///< How late its timer ticks come.
   uint64_t relays = 0;        ///< Hosts that call workers for the leader.
   uint64_t open_jobs = 0;     ///< Neither ended nor cancelled.
@@ -75,25 +75,25 @@
 /// Disables single safety steps, so that tests can show that each is needed.
 struct DispatchMutations {
   /// Acknowledges the end of a run to its worker before that is committed.
-  bool is_end_seen_early = false;
+  bool is_end_acknowledged_early = false;
   /// Treats the runs of a silent worker as ended before its lease runs out.
   bool is_lease_ignored = false;
   /// Forgets a start that was not answered, without stopping the run first.
-  bool is_barring_skipped = false;
+  bool is_unanswered_start_forgotten = false;
   /// Sends orders with an outdated fence.
-  bool is_fence_old = false;
+  bool is_fence_outdated = false;
   /// Acts without a recent confirmation by a quorum.
-  bool is_lead_assumed = false;
+  bool is_leadership_assumed = false;
   /// Accepts a relay's results of an earlier term.
   bool is_relay_term_ignored = false;
   /// Assumes that a lost relay sent none of the orders that it was given.
-  bool is_handed_order_forgotten = false;
+  bool is_relayed_order_assumed_unsent = false;
   /// Takes all incarnations of a worker with the same id for one.
-  bool is_birth_ignored = false;
+  bool is_incarnation_ignored = false;
   /// Checks an organisation's cap when it plans a start, not when it sends it.
-  bool is_cap_planned_only = false;
+  bool is_cap_checked_for_plans_only = false;
   /// Starts runs on a worker by its committed capacity, however old that is.
-  bool is_room_age_ignored = false;
+  bool is_capacity_age_ignored = false;
 };
 
 struct DispatcherInit {
@@ -147,7 +147,7 @@
   DispatchCounters counters() const;
 
   /// As of the last update by the dispatch thread. Thread-safe.
-  DispatchSight sight() const;
+  SchedulerStatus sight() const;
 
  private:
   class Impl;
--- a/packages/dispatch/src/admission_limit.cc
+++ b/packages/dispatch/src/admission_limit.cc
@@ -20,19 +20,21 @@
 
 }  // namespace
 
-void AdmissionLimit::Leave(Millis took, AskedOutcome outcome, SteadyTime now) {
+void AdmissionLimit::Leave(Millis took,
+                           AdmittedOutcome outcome,
+                           SteadyTime now) {
   const bool was_used = 2 * m_under_way >= limit();
   --m_under_way;
-  if (outcome == AskedOutcome::kNotSent) {
+  if (outcome == AdmittedOutcome::kNotSent) {
     return;  // Says nothing about the leader's load.
   }
-  if (outcome == AskedOutcome::kNotAnswered && took > kLateAnswer) {
+  if (outcome == AdmittedOutcome::kNotAnswered && took > kLateAnswer) {
     // The leader is gone, or busy with requests that have timed out; more
     // requests would delay it further.
     Lower(kMinLimit, now);
-  } else if (outcome == AskedOutcome::kAnswered && took > kLateAnswer) {
+  } else if (outcome == AdmittedOutcome::kAnswered && took > kLateAnswer) {
     Lower(m_limit * kLateFactor, now);
-  } else if (outcome == AskedOutcome::kAnswered && took <= kFastAnswer &&
+  } else if (outcome == AdmittedOutcome::kAnswered && took <= kFastAnswer &&
              was_used) {
     // Rises by one per answer up to half of the limit that was last lowered,
     // then by one per round of answers.
--- a/packages/dispatch/src/admission_limit_p.h
+++ b/packages/dispatch/src/admission_limit_p.h
@@ -7,7 +7,7 @@
 namespace laurelhall::dispatch {
 
 /// The result of an admitted request.
-enum class AskedOutcome {
+enum class AdmittedOutcome {
   kAnswered,
   kNotAnswered,  ///< It was sent and timed out.
   kNotSent,      ///< No leader was known, or it was lost.
@@ -32,7 +32,7 @@
   ///
   /// @param took The time until its answer, or until it timed out.
   /// @pre Enter() was called for it.
-  void Leave(Millis took, AskedOutcome outcome, SteadyTime now);
+  void Leave(Millis took, AdmittedOutcome outcome, SteadyTime now);
 
   size_t under_way() const { return m_under_way; }
   size_t limit() const { return static_cast<size_t>(m_limit); }
--- a/packages/dispatch/src/dispatcher.cc
+++ b/packages/dispatch/src/dispatcher.cc
@@ -159,7 +159,7 @@
     return m_published;
   }
 
-  DispatchSight sight() const {
+  SchedulerStatus sight() const {
     const std::lock_guard lock(m_counters_mutex);
     return m_published_sight;
   }
@@ -822,7 +822,7 @@
   static RelayBounds RelayBoundsOf(const DispatcherInit& init) {
     RelayBounds bounds = init.relays;
     if (!init.mechanisms.Has(scheduling::Mechanism::kRelays)) {
-      bounds.own_workers = SIZE_MAX;
+      bounds.max_direct_workers = SIZE_MAX;
     }
     return bounds;
   }
@@ -865,7 +865,7 @@
   std::atomic<bool> m_is_leading{false};
   mutable std::mutex m_counters_mutex;  // Guards the two published copies.
   DispatchCounters m_published;
-  DispatchSight m_published_sight;
+  SchedulerStatus m_published_sight;
 };
 
 Dispatcher::Dispatcher(const DispatcherInit& init)
@@ -918,7 +918,7 @@
   return m_impl->counters();
 }
 
-DispatchSight Dispatcher::sight() const {
+SchedulerStatus Dispatcher::sight() const {
   return m_impl->sight();
 }
 
--- a/packages/dispatch/src/leadership.cc
+++ b/packages/dispatch/src/leadership.cc
@@ -250,8 +250,8 @@
     }
     CommitLapses(ledger);
     RemoveSilentWorkers(ledger, records);
-    StepWaves(ledger, records);
-    StepMoves(ledger);
+    AdvanceWaves(ledger, records);
+    AdvanceMoves(ledger);
     Report(ledger);
     ForgetEndedJobs(ledger, records);
     SendOrders(ledger);
@@ -324,7 +324,7 @@
 // was read or delivered late counts from when it was sent. A report without a
 // clock counts as just sent.
 bool Leadership::IsRoomHeard(const WorkerLink& link) const {
-  if (m_init.mutations.is_room_age_ignored) {
+  if (m_init.mutations.is_capacity_age_ignored) {
     return true;
   }
   if (!link.last_report || WasThreadPaused()) {
@@ -389,7 +389,8 @@
     }
   } else if (link.born == WallTime()) {
     link.born = worker->born;
-  } else if (worker->born > link.born && !m_init.mutations.is_birth_ignored) {
+  } else if (worker->born > link.born &&
+             !m_init.mutations.is_incarnation_ignored) {
     BeginLife(ledger, id, link, worker->born);
   }
   link.address = {id, worker->info.address, worker->info.availability_zone};
--- a/packages/dispatch/src/leadership_p.h
+++ b/packages/dispatch/src/leadership_p.h
@@ -291,7 +291,7 @@
   Millis OwnDelay() const { return std::min(3 * m_tick_lag, kMaxLeaderDelay); }
 
   uint64_t term() const { return m_term; }
-  const DispatchSight& sight() const { return m_sight; }
+  const SchedulerStatus& sight() const { return m_sight; }
 
   /// Commits the record of a request in the next batch.
   ///
@@ -317,7 +317,7 @@
   /// The fencing token of orders to the worker's current incarnation. It is
   /// higher than those of all earlier incarnations and terms.
   uint64_t FenceOf(const WorkerLink& link) const {
-    return m_init.mutations.is_fence_old
+    return m_init.mutations.is_fence_outdated
                ? 0
                : (m_term << kFenceIncarnationBits) + link.number;
   }
@@ -326,13 +326,13 @@
   void Commit(Records records, CommitDone done);
 
   bool IsSureToLead() const {
-    return m_init.mutations.is_lead_assumed ||
+    return m_init.mutations.is_leadership_assumed ||
            m_leader_lease.IsHeld(m_init.boot_now());
   }
 
   /// The last time at which this host held the leader lease; now while it does.
   SteadyTime SureAt() const {
-    return m_init.mutations.is_lead_assumed
+    return m_init.mutations.is_leadership_assumed
                ? Now()
                : Now() - m_leader_lease.ExpiredFor(m_init.boot_now());
   }
@@ -579,7 +579,7 @@
   }
 
   // waves.cc: maintenance.
-  void StepWaves(const Ledger& ledger, Records& records);
+  void AdvanceWaves(const Ledger& ledger, Records& records);
   size_t AdoptOrderedHosts(const scheduling::WaveState& wave);
   static bool IsDueForMaintenance(const Ledger& ledger,
                                   const std::string& host);
@@ -614,7 +614,7 @@
   HostAct MakeHostAct(const std::string& host);
 
   // moves.cc: hosts between pools.
-  void StepMoves(const Ledger& ledger);
+  void AdvanceMoves(const Ledger& ledger);
   void UpdateInventory(const Ledger& ledger);
   void UpdateHostOf(const scheduling::Worker& worker);
   bool IsMoveOver(const Ledger& ledger,
@@ -699,7 +699,7 @@
   SteadyTime m_next_run_sync{};
   SteadyTime m_next_stops{};
   SteadyTime m_next_sight{};
-  DispatchSight m_sight;  // As in the last report lines.
+  SchedulerStatus m_sight;  // As in the last report lines.
   // Above this tick lag, a third of the time between ticks, the leader makes
   // fewer and larger calls: a hold call then brings the ends of 60 ms instead
   // of a single end.
--- a/packages/dispatch/src/moves.cc
+++ b/packages/dispatch/src/moves.cc
@@ -80,7 +80,7 @@
   return false;
 }
 
-void Leadership::StepMoves(const Ledger& ledger) {
+void Leadership::AdvanceMoves(const Ledger& ledger) {
   const SteadyTime now = Now();
   if (now >= m_next_demand_update) {
     m_next_demand_update = now + kDemandPeriod;
--- a/packages/dispatch/src/orders.cc
+++ b/packages/dispatch/src/orders.cc
@@ -226,7 +226,7 @@
                                         const RunKey& key,
                                         const RunTrack& track) const {
   if (job.organisation.empty() || track.is_listed ||
-      m_init.mutations.is_cap_planned_only) {
+      m_init.mutations.is_cap_checked_for_plans_only) {
     return false;
   }
   const scheduling::Resources& need = job.spec.steps[key.task.step].need;
@@ -290,7 +290,8 @@
       if (link != m_links.end()) {
         link->second.suspect_until = Now() + kSuspectTime;
       }
-      if (track.may_be_on_its_way && !m_init.mutations.is_barring_skipped) {
+      if (track.may_be_on_its_way &&
+          !m_init.mutations.is_unanswered_start_forgotten) {
         // Says nothing about the earlier order, so the start is repeated unless
         // the run is listed or barred by a stop that was taken meanwhile.
         const bool is_settled = track.is_listed || track.is_stop_taken;
@@ -323,7 +324,8 @@
   if (track.is_listed) {
     return;  // The run has started; only the repeated start was refused.
   }
-  if (track.may_be_on_its_way && !m_init.mutations.is_barring_skipped) {
+  if (track.may_be_on_its_way &&
+      !m_init.mutations.is_unanswered_start_forgotten) {
     track.start = StartStage::kBarring;
     WantStop(key, track, StopReason::kStartNotAnswered);
     SendStop(key, track);
@@ -444,9 +446,10 @@
   // acknowledged by the numbers of the one before.
   const bool is_same_incarnation =
       !link.is_silent && Now() - link.last_listed < kSameIncarnationTime;
-  order.ends_seen = is_same_incarnation || m_init.mutations.is_birth_ignored
-                        ? link.ends_seen
-                        : 0;
+  order.ends_seen =
+      is_same_incarnation || m_init.mutations.is_incarnation_ignored
+          ? link.ends_seen
+          : 0;
   order.wait = wait;
   order.timeout = wait + kHoldAnswerMargin + OwnDelay();
   return order;
@@ -544,7 +547,7 @@
                                   WorkerLink& link,
                                   const HoldReply& reply) {
   if (reply.born == WallTime() || reply.born == link.born ||
-      m_init.mutations.is_birth_ignored) {
+      m_init.mutations.is_incarnation_ignored) {
     return true;
   }
   if (reply.born < link.born) {
@@ -878,7 +881,7 @@
     return;
   }
   WorkerLink& link = m_links.at(worker);
-  if (m_init.mutations.is_end_seen_early) {
+  if (m_init.mutations.is_end_acknowledged_early) {
     link.ends_seen = last_end;
     SendHold(worker, link, Millis(0));
   }
@@ -903,7 +906,7 @@
       link.is_hold_under_way = false;
       link.is_awaiting_first_list = false;
       // With the mutation, a hold request is in flight already.
-      const bool is_hold_sent = m_init.mutations.is_end_seen_early;
+      const bool is_hold_sent = m_init.mutations.is_end_acknowledged_early;
       if (outcome == CommitOutcome::kCommitted && !is_hold_sent) {
         link.ends_seen = std::max(link.ends_seen, last_end);
         if (IsTickLagHigh()) {
--- a/packages/dispatch/src/relay_pool.cc
+++ b/packages/dispatch/src/relay_pool.cc
@@ -130,8 +130,8 @@
   if (is_new) {
     route->second.availability_zone = worker.availability_zone;
     const bool are_relays_needed =
-        m_routes.size() == m_bounds.own_workers + 1 && m_relays.empty() &&
-        m_timers.Now() >= m_relays_expected_until;
+        m_routes.size() == m_bounds.max_direct_workers + 1 &&
+        m_relays.empty() && m_timers.Now() >= m_relays_expected_until;
     if (are_relays_needed) {
       // Followers that were not needed as relays so far ask again by then.
       ExpectRelays(kSpareRelayRetryDelay + kRelayDiscoveryTime);
@@ -149,8 +149,9 @@
 // workers would use up this host's descriptors, only to be closed once relays
 // have come.
 bool RelayPool::MustWaitForRelay(const WorkerRoute& route) const {
-  return m_direct_connections >= m_bounds.most_direct && route.relay.empty() &&
-         !route.has_connection && m_relays.size() < RelaysNeeded() &&
+  return m_direct_connections >= m_bounds.max_direct_connections &&
+         route.relay.empty() && !route.has_connection &&
+         m_relays.size() < RelaysNeeded() &&
          m_timers.Now() < m_relays_expected_until;
 }
 
@@ -265,7 +266,7 @@
 // --- Relays -----------------------------------------------------------------
 
 size_t RelayPool::RelaysNeeded() const {
-  if (m_routes.size() <= m_bounds.own_workers) {
+  if (m_routes.size() <= m_bounds.max_direct_workers) {
     return 0;
   }
   const size_t share = m_bounds.workers_per_relay;
@@ -455,7 +456,7 @@
 
 // The outcome of an order that is given up without a result.
 CallOutcome RelayPool::OutcomeWithoutResult(bool is_handed_over) const {
-  return is_handed_over && !m_mutations.is_handed_order_forgotten
+  return is_handed_over && !m_mutations.is_relayed_order_assumed_unsent
              ? CallOutcome::kUnknown
              : CallOutcome::kNotReached;
 }
--- a/packages/dispatch/src/remote.cc
+++ b/packages/dispatch/src/remote.cc
@@ -181,10 +181,10 @@
     const SteadyTime now = m_init.timers->Now();
     const auto took = std::chrono::floor<Millis>(now - pending.sent_at);
     const bool is_busy = may_have_run && !IsLeaderLost();
-    const AskedOutcome unanswered =
-        is_busy ? AskedOutcome::kNotAnswered : AskedOutcome::kNotSent;
+    const AdmittedOutcome unanswered =
+        is_busy ? AdmittedOutcome::kNotAnswered : AdmittedOutcome::kNotSent;
     pending.limit->Leave(
-        took, is_answered ? AskedOutcome::kAnswered : unanswered, now);
+        took, is_answered ? AdmittedOutcome::kAnswered : unanswered, now);
   }
 
   void OnAnswer(const std::shared_ptr<PendingRequest>& pending,
--- a/packages/dispatch/src/reports.cc
+++ b/packages/dispatch/src/reports.cc
@@ -50,7 +50,7 @@
   return kEligibilityNames[static_cast<size_t>(eligibility)];
 }
 
-void DispatchSight::Clear() {
+void SchedulerStatus::Clear() {
   tick_lag = Millis(0);
   relays = 0;
   open_jobs = 0;
--- a/packages/dispatch/src/waves.cc
+++ b/packages/dispatch/src/waves.cc
@@ -60,7 +60,7 @@
   return workers.empty() ? nullptr : ledger.FindWorker(*workers.begin());
 }
 
-void Leadership::StepWaves(const Ledger& ledger, Records& records) {
+void Leadership::AdvanceWaves(const Ledger& ledger, Records& records) {
   for (const auto& [number, wave] : ledger.waves()) {
     if (wave.is_done()) {
       continue;
--- a/packages/dispatch/tests/admission_limit_test.cc
+++ b/packages/dispatch/tests/admission_limit_test.cc
@@ -65,7 +65,7 @@
     m_queue.push_back({host, m_now});
   }
 
-  void Leave(const PendingRequest& pending_request, AskedOutcome outcome) {
+  void Leave(const PendingRequest& pending_request, AdmittedOutcome outcome) {
     if (m_has_limit) {
       m_limits[static_cast<size_t>(pending_request.host)].Leave(
           std::chrono::floor<Millis>(m_now - pending_request.requested_at),
@@ -78,7 +78,7 @@
       if (!pending_request.is_timed_out &&
           m_now - pending_request.requested_at >= kRequestTimeout) {
         pending_request.is_timed_out = true;
-        Leave(pending_request, AskedOutcome::kNotAnswered);
+        Leave(pending_request, AdmittedOutcome::kNotAnswered);
       }
     }
   }
@@ -90,7 +90,7 @@
     while (m_budget >= 1 && !m_queue.empty()) {
       m_budget -= 1;
       if (!m_queue.front().is_timed_out) {
-        Leave(m_queue.front(), AskedOutcome::kAnswered);
+        Leave(m_queue.front(), AdmittedOutcome::kAnswered);
         ++in_time;
       }
       m_queue.pop_front();
@@ -117,7 +117,7 @@
     }
     now += Millis(50);
     while (limit.under_way() > 0) {
-      limit.Leave(Millis(50), AskedOutcome::kAnswered, now);
+      limit.Leave(Millis(50), AdmittedOutcome::kAnswered, now);
     }
   }
   CHECK(limit.limit() > 2 * before);
@@ -129,7 +129,7 @@
   for (int request = 0; request < 1'000; ++request) {
     REQUIRE(limit.MayEnter());
     limit.Enter();
-    limit.Leave(Millis(50), AskedOutcome::kAnswered,
+    limit.Leave(Millis(50), AdmittedOutcome::kAnswered,
                 SteadyTime(Millis(request)));
   }
   CHECK(limit.limit() == before);
@@ -142,7 +142,7 @@
     now += Millis(600);
     REQUIRE(limit.MayEnter());
     limit.Enter();
-    limit.Leave(Millis(600), AskedOutcome::kNotAnswered, now);
+    limit.Leave(Millis(600), AdmittedOutcome::kNotAnswered, now);
   }
   CHECK(limit.limit() == 1);
   CHECK(limit.MayEnter());
@@ -156,7 +156,7 @@
   AdmissionLimit limit;
   SteadyTime now{Millis(10'000)};
   limit.Enter();
-  limit.Leave(Millis(600), AskedOutcome::kNotAnswered, now);
+  limit.Leave(Millis(600), AdmittedOutcome::kNotAnswered, now);
   const size_t lowered = limit.limit();
   // An idle leader whose quorum's disks take 160 ms to sync.
   for (int round = 0; round < 100; ++round) {
@@ -165,7 +165,7 @@
       limit.Enter();
     }
     while (limit.under_way() > 0) {
-      limit.Leave(Millis(160), AskedOutcome::kAnswered, now);
+      limit.Leave(Millis(160), AdmittedOutcome::kAnswered, now);
     }
   }
   CHECK(limit.limit() > lowered);
@@ -178,7 +178,7 @@
   for (int request = 0; request < 20; ++request) {
     REQUIRE(limit.MayEnter());
     limit.Enter();
-    limit.Leave(Millis(1'200), AskedOutcome::kNotSent,
+    limit.Leave(Millis(1'200), AdmittedOutcome::kNotSent,
                 SteadyTime(Seconds(request)));
   }
   CHECK(limit.limit() == before);
@@ -187,7 +187,7 @@
 // Under a multiple of the leader's capacity at least 90 % of that capacity is
 // answered in time, and so is the load after the overload has ended.
 TEST_CASE("AdmissionLimit, overload, throughput stays") {
-  for (const uint64_t seed : SeedsToPlay(10)) {
+  for (const uint64_t seed : SeedsToRun(10)) {
     for (const double times : {0.5, 0.9, 2.0, 5.0, 20.0}) {
       OverloadModel model(seed, true);
       const double asked = times * OverloadModel::kAnswersPerSecond;
--- a/packages/dispatch/tests/dispatcher_test.cc
+++ b/packages/dispatch/tests/dispatcher_test.cc
@@ -33,7 +33,7 @@
 
 TEST_CASE_FIXTURE(DispatcherFixture,
                   "Dispatcher, start's answer lost, task runs once") {
-  world.weather.unheard = 0.5;
+  world.call_faults.answer_lost = 0.5;
   world.Submit("a", {Step(10)});
   world.Advance(Millis(10'000));
   CHECK(world.StateOf("a") == JobState::kSucceeded);
@@ -43,7 +43,7 @@
 
 TEST_CASE_FIXTURE(DispatcherFixture,
                   "Dispatcher, orders carried out late, no task runs twice") {
-  world.weather.late = 0.4;
+  world.call_faults.late = 0.4;
   for (const char* id : {"a", "b", "c"}) {
     world.Submit(id, {Step(8), Step(3, {0})});
   }
@@ -523,9 +523,9 @@
 
 // Returns the violations of a leader that has hosts to move and to maintain and
 // wakes after another one was elected.
-std::vector<std::string> WakeAfterElection(bool is_lead_assumed) {
+std::vector<std::string> WakeAfterElection(bool is_leadership_assumed) {
   DispatchMutations mutations;
-  mutations.is_lead_assumed = is_lead_assumed;
+  mutations.is_leadership_assumed = is_leadership_assumed;
   World world(7, mutations);
   world.AddWorkers(3);
   scheduling::Configuration two = world.ledger().configuration();
@@ -602,8 +602,8 @@
   const auto pick = [&random](int least, int most) {
     return std::uniform_int_distribution<int>(least, most)(random);
   };
-  world.weather = {pick(0, 2) * 0.05, pick(0, 2) * 0.05, pick(0, 2) * 0.05,
-                   pick(0, 2) * 0.1};
+  world.call_faults = {pick(0, 2) * 0.05, pick(0, 2) * 0.05, pick(0, 2) * 0.05,
+                       pick(0, 2) * 0.1};
   world.failing = pick(0, 3) * 0.01;
   std::vector<std::string> jobs;
   for (int round = 0; round < 30; ++round) {
@@ -624,7 +624,7 @@
   for (const char* id : {"w0", "w1", "w2", "w3"}) {
     world.Cut(id, false);
   }
-  world.weather = {};
+  world.call_faults = {};
   world.failing = 0;
   world.Advance(Millis(45'000));
   std::vector<std::string> wrong = world.violations();
@@ -640,7 +640,7 @@
 // LAURELHALL_SEEDS sets the number of seeds, LAURELHALL_FIRST_SEED the first.
 TEST_CASE(
     "Dispatcher, seeded schedules of failures, nothing runs twice or is lost") {
-  for (const uint64_t seed : SeedsToPlay(40)) {
+  for (const uint64_t seed : SeedsToRun(40)) {
     for (const std::string& wrong : PlaySchedule(seed, {})) {
       FAIL_CHECK("seed ", seed, ": ", wrong);
     }
@@ -679,10 +679,11 @@
 
 TEST_CASE("Dispatcher, protocol step left out, the schedules detect it") {
   const Mutant mutants[] = {
-      {"end acknowledged early", &DispatchMutations::is_end_seen_early},
+      {"end acknowledged early", &DispatchMutations::is_end_acknowledged_early},
       {"lease ignored", &DispatchMutations::is_lease_ignored},
-      {"unanswered start forgotten", &DispatchMutations::is_barring_skipped},
-      {"fence outdated", &DispatchMutations::is_fence_old},
+      {"unanswered start forgotten",
+       &DispatchMutations::is_unanswered_start_forgotten},
+      {"fence outdated", &DispatchMutations::is_fence_outdated},
   };
   for (const Mutant& mutant : mutants) {
     DispatchMutations mutations;
--- a/packages/dispatch/tests/incidents/crash_loop_test.cc
+++ b/packages/dispatch/tests/incidents/crash_loop_test.cc
@@ -134,7 +134,8 @@
   world.Advance(Millis(100));
   for (int crash = 0; crash < 2; ++crash) {
     for (int host = 0; host < 6; ++host) {
-      world.Crash(world.LifeOn("host-w" + std::to_string(host)), Millis(3'000));
+      world.Crash(world.LiveWorkerOn("host-w" + std::to_string(host)),
+                  Millis(3'000));
       world.Advance(Millis(700));
     }
   }
@@ -176,7 +177,8 @@
 
   void LoseRack(int first, Millis back_in) {
     for (int worker = first; worker < first + 4; ++worker) {
-      world.Crash(world.LifeOn("host-" + std::to_string(worker)), back_in);
+      world.Crash(world.LiveWorkerOn("host-" + std::to_string(worker)),
+                  back_in);
     }
   }
 
@@ -224,7 +226,7 @@
     world.Advance(Millis(300));
     const int first = loss % 2 == 0 ? 0 : 4;
     for (int worker = first; worker < first + 4; ++worker) {
-      world.Crash(world.LifeOn("host-" + std::to_string(worker)),
+      world.Crash(world.LiveWorkerOn("host-" + std::to_string(worker)),
                   Millis(3'000 + 70 * worker));
     }
     world.Advance(Millis(3'500));
--- a/packages/dispatch/tests/incidents/culprits_in_a_rush_test.cc
+++ b/packages/dispatch/tests/incidents/culprits_in_a_rush_test.cc
@@ -44,8 +44,8 @@
       m_world.AddWorker(m_hosts.back(), "teklif",
                         "rack-" + std::to_string(worker / 2));
     }
-    m_world.weather = {0, Pick(0, 2) * 0.02, Pick(0, 1) * 0.03, 0};
-    m_world.reborn = Pick(0, 2) * 0.5;
+    m_world.call_faults = {0, Pick(0, 2) * 0.02, Pick(0, 1) * 0.03, 0};
+    m_world.same_id_share = Pick(0, 2) * 0.5;
     for (const char* id : {"watch", "audit"}) {
       scheduling::StepSpec step = Step(kPersistentTaskCount);
       step.is_persistent = true;
@@ -66,7 +66,7 @@
       }
       m_world.Advance(Millis(500));
     }
-    m_world.weather = {};
+    m_world.call_faults = {};
     m_world.Advance(Millis(90'000));
     return Check();
   }
@@ -96,8 +96,8 @@
 
   void InjectFaults() {
     if (Pick(0, 19) == 0) {
-      const std::string life =
-          m_world.LifeOn(m_hosts[static_cast<size_t>(Pick(0, kWorkers - 1))]);
+      const std::string life = m_world.LiveWorkerOn(
+          m_hosts[static_cast<size_t>(Pick(0, kWorkers - 1))]);
       if (!life.empty()) {
         m_world.Crash(life, Millis(3'000));
       }
@@ -118,7 +118,7 @@
       const JobState state = m_world.StateOf(id);
       m_losses.healthy_given_up += state == JobState::kFailed ? 1 : 0;
       // A job that was lost with two workers may be taken for a culprit.
-      const bool may_fail = m_world.MostDeathsUnder(id) >= 2;
+      const bool may_fail = m_world.MaxWorkersLostUnder(id) >= 2;
       if (state != JobState::kSucceeded &&
           !(state == JobState::kFailed && may_fail)) {
         check_findings.push_back(id + " is " + JobStateName(state));
@@ -155,7 +155,7 @@
     "Dispatcher, seeded load peaks with culprits, persistent jobs keep running "
     "and few healthy ones are given up") {
   Losses losses;
-  for (const uint64_t seed : SeedsToPlay(12)) {
+  for (const uint64_t seed : SeedsToRun(12)) {
     CulpritSchedule schedule(seed);
     for (const std::string& check_findings : schedule.Play()) {
       FAIL_CHECK("seed ", seed, ": ", check_findings);
--- a/packages/dispatch/tests/incidents/hosts_held_test.cc
+++ b/packages/dispatch/tests/incidents/hosts_held_test.cc
@@ -39,7 +39,7 @@
       world.AddWorker("idle-" + std::to_string(host), "enerji");
     }
     world.Advance(Millis(10'000));
-    world.SlowActs(Millis(100));
+    world.SlowHostActions(Millis(100));
     world.Submit("rush", {Tasks(600)});
     world.Advance(Millis(1'000));
   }
--- a/packages/dispatch/tests/incidents/listed_run_barred_test.cc
+++ b/packages/dispatch/tests/incidents/listed_run_barred_test.cc
@@ -21,12 +21,12 @@
     brief.estimate = Millis(200);
     world.Submit("brief", {brief});
     world.Advance(Millis(50));
-    world.weather.unheard = 1;
+    world.call_faults.answer_lost = 1;
     scheduling::StepSpec step = Tasks(1);
     step.is_persistent = true;
     world.Submit("p", {step});
     world.Advance(Millis(60));
-    world.weather.unheard = 0;
+    world.call_faults.answer_lost = 0;
   }
 
   static scheduling::StepSpec Tasks(uint32_t count) {
@@ -50,9 +50,9 @@
                   "run is kept") {
   REQUIRE(world.starts() == 2);
   world.Advance(Millis(200));  // A hold request lists the run.
-  world.weather.refused = 1;
+  world.call_faults.refused = 1;
   world.Advance(Millis(600));
-  world.weather.refused = 0;
+  world.call_faults.refused = 0;
   world.Advance(Millis(2'000));
   CHECK(ActiveRunOfP() == 1);
 }
--- a/packages/dispatch/tests/incidents/room_shrinks_test.cc
+++ b/packages/dispatch/tests/incidents/room_shrinks_test.cc
@@ -80,12 +80,12 @@
                   "Dispatcher, capacity shrinks before a start is repeated, "
                   "task goes elsewhere") {
   for (int round = 0; round < 6; ++round) {
-    world.weather.lost = 1;
+    world.call_faults.lost = 1;
     world.Submit("job-" + std::to_string(round), {Tasks(8)});
     world.Advance(Millis(300));
     world.Resize("w0", kSmallCapacity);
     world.Advance(Millis(4'600));
-    world.weather.lost = 0;
+    world.call_faults.lost = 0;
     world.Advance(Millis(12'000));
     CHECK(world.StateOf("job-" + std::to_string(round)) ==
           scheduling::JobState::kSucceeded);
@@ -180,12 +180,12 @@
                   "Dispatcher, start of an earlier leader and unheard worker, "
                   "task goes elsewhere") {
   world.Mute("w0", true);
-  world.weather.lost = 1;
+  world.call_faults.lost = 1;
   world.Submit("a", {Tasks(8)});
   world.Resize("w0", kSmallCapacity);
   world.Advance(kOldCapacityValidFor);
   world.ChangeLeader(Millis(0));
-  world.weather.lost = 0;
+  world.call_faults.lost = 0;
   world.Advance(Millis(12'000));
   CHECK(world.StateOf("a") == scheduling::JobState::kSucceeded);
   CheckNoViolations();
@@ -266,7 +266,7 @@
     "Dispatcher, age of committed capacity is ignored, starts exceed the "
     "capacity") {
   DispatchMutations mutations;
-  mutations.is_room_age_ignored = true;
+  mutations.is_capacity_age_ignored = true;
   World world(7, mutations);
   world.AddWorkers(2);
   world.Advance(Millis(500));
--- a/packages/dispatch/tests/incidents/standing_service_test.cc
+++ b/packages/dispatch/tests/incidents/standing_service_test.cc
@@ -44,12 +44,12 @@
   std::string LoseStopOfFirstTask(Millis lost_for) {
     const scheduling::Job& watch = *world.ledger().FindJob("watch");
     const std::string leaving = watch.tasks[0].active[0].worker;
-    world.weather.lost = 1;
+    world.call_faults.lost = 1;
     world.OpenWave({world.ledger().FindWorker(leaving)->info.host});
     world.Advance(Millis(300));
     world.Crash(watch.tasks[1].active[0].worker, Millis(60'000));
     world.Advance(lost_for);
-    world.weather.lost = 0;
+    world.call_faults.lost = 0;
     return leaving;
   }
 
--- a/packages/dispatch/tests/incidents/stands_still_unlooked_test.cc
+++ b/packages/dispatch/tests/incidents/stands_still_unlooked_test.cc
@@ -19,7 +19,7 @@
   DelayedHoldFixture() {
     world.AddWorkers(1);
     world.Advance(Millis(1'000));
-    world.stretch = 7;
+    world.run_time_factor = 7;
     world.Submit("long", {Task(Millis(1'000))});
     world.Submit("brief", {Task(Millis(100))});
     scheduling::StepSpec lasting = Task(Millis(100));
--- a/packages/dispatch/tests/incidents/worker_reborn_test.cc
+++ b/packages/dispatch/tests/incidents/worker_reborn_test.cc
@@ -51,7 +51,7 @@
 TEST_CASE_FIXTURE(
     RestartedWorkerFixture,
     "Dispatcher, worker restarts under its id, its ended runs are read") {
-  world.CrashAndBeginAgain("w0", Millis(2'000));
+  world.CrashAndRestart("w0", Millis(2'000));
   world.Advance(Millis(2'500));
   for (int round = 0; round < 5; ++round) {
     Submit(12);
@@ -69,7 +69,7 @@
   Submit(12);
   world.Advance(Millis(100));
   REQUIRE(!world.ledger().FindWorker("w0")->active.empty());
-  world.CrashAndBeginAgain("w0", Millis(1'000), Millis(5'000));
+  world.CrashAndRestart("w0", Millis(1'000), Millis(5'000));
   world.Advance(Millis(4'000));
   CheckAllDone();
   CHECK(world.ledger().FindWorker("w0")->used == scheduling::Resources());
@@ -80,7 +80,7 @@
 TEST_CASE_FIXTURE(RestartedWorkerFixture,
                   "Dispatcher, worker restarts and is then cut off, its lease "
                   "expires") {
-  world.CrashAndBeginAgain("w0", Millis(1'000));
+  world.CrashAndRestart("w0", Millis(1'000));
   world.Advance(Millis(2'000));
   Submit(12);
   world.Advance(Millis(100));
@@ -94,7 +94,7 @@
 // Guards against a worker that counts as gone, or as draining, forever.
 TEST_CASE_FIXTURE(RestartedWorkerFixture,
                   "Dispatcher, worker restarts after 25 s, is given work") {
-  world.CrashAndBeginAgain("w0", Millis(25'000));
+  world.CrashAndRestart("w0", Millis(25'000));
   world.Advance(Millis(24'000));
   REQUIRE(world.ledger().FindWorker("w0") == nullptr);
   world.Advance(Millis(3'000));
@@ -111,7 +111,7 @@
   world.Announce(draining, 9);
   world.Advance(Millis(500));
   REQUIRE(world.ledger().FindWorker("w0")->info.is_draining);
-  world.CrashAndBeginAgain("w0", Millis(1'000));
+  world.CrashAndRestart("w0", Millis(1'000));
   world.Advance(Millis(2'000));
   Submit(12);
   world.Advance(Millis(100));
@@ -123,7 +123,7 @@
                   "Dispatcher, announcements of the previous incarnation come "
                   "late, are ignored") {
   const scheduling::WorkerInfo before = world.ledger().FindWorker("w0")->info;
-  world.CrashAndBeginAgain("w0", Millis(1'000));
+  world.CrashAndRestart("w0", Millis(1'000));
   world.Advance(Millis(2'000));
   const WallTime born = world.ledger().FindWorker("w0")->born;
   scheduling::WorkerInfo draining = before;
@@ -138,7 +138,7 @@
 // Guards against a maintenance whose completion is never detected.
 TEST_CASE_FIXTURE(RestartedWorkerFixture,
                   "Wave, host returns with its worker's id, is done") {
-  world.has_same_ids = true;
+  world.keeps_worker_ids = true;
   world.OpenWave({"host-w0", "host-w1", "host-w2"});
   world.Advance(Millis(14'000));
   CHECK(world.maintained().size() == 3);
--- a/packages/dispatch/tests/lease_test.cc
+++ b/packages/dispatch/tests/lease_test.cc
@@ -12,7 +12,7 @@
 class LeaseFixture {
  protected:
   LeaseFixture() {
-    m_world.is_calm = true;
+    m_world.is_only_control_disturbed = true;
     m_world.AddWorkers(4);
     StepSpec step = Step(4);
     step.is_persistent = true;
@@ -47,7 +47,7 @@
                   "Dispatcher, job cancelled while its starts wait for a "
                   "quorum, none is sent") {
   m_world.SlowCommits(Millis(700));
-  m_world.SlowWords(Millis(3'000));
+  m_world.SlowConfirmations(Millis(3'000));
   m_world.Submit("cancelled", {Step(4)});
   m_world.Advance(Millis(1'500));  // Starts are committed, but not sent.
   const uint64_t before = m_world.starts();
@@ -65,7 +65,7 @@
   m_world.Advance(Millis(300));
   CHECK(m_world.starts() == 8);
   m_world.SlowCommits(Millis(8'000));
-  m_world.SlowWords(Millis(5));
+  m_world.SlowConfirmations(Millis(5));
   m_world.Advance(Millis(12'000));
   m_world.SlowCommits(Millis(5));
   m_world.Advance(Millis(10'000));
@@ -80,7 +80,7 @@
                   "Dispatcher, terms shorter than a hold call, leases do "
                   "not expire") {
   for (int change = 0; change < 15; ++change) {
-    m_world.Elect(Millis(100));
+    m_world.ElectOtherLeader(Millis(100));
     m_world.Advance(Millis(1'000));
   }
   m_world.Advance(Millis(10'000));
@@ -90,13 +90,13 @@
 TEST_CASE_FIXTURE(LeaseFixture,
                   "Dispatcher, other task lost while a wave's stop waits for a "
                   "quorum, stop is not sent") {
-  m_world.SlowWords(Millis(5'400));
+  m_world.SlowConfirmations(Millis(5'400));
   m_world.Advance(Millis(800));
   m_world.OpenWave({"host-w0"});
   m_world.Advance(Millis(100));
   m_world.Crash("w1", Millis(0));
   m_world.Advance(Millis(4'400));
-  m_world.SlowWords(Millis(5));
+  m_world.SlowConfirmations(Millis(5));
   m_world.Advance(Millis(3'000));
   for (const std::string& violation : m_world.violations()) {
     FAIL_CHECK(violation);
--- a/packages/dispatch/tests/life_schedule_test.cc
+++ b/packages/dispatch/tests/life_schedule_test.cc
@@ -27,9 +27,9 @@
     if (m_has_relays) {
       m_world.AddRelays(4);
     }
-    m_world.weather = {Pick(0, 2) * 0.03, Pick(0, 2) * 0.03, Pick(0, 2) * 0.05,
-                       Pick(0, 2) * 0.05};
-    m_world.reborn = Pick(0, 2) * 0.5;
+    m_world.call_faults = {Pick(0, 2) * 0.03, Pick(0, 2) * 0.03,
+                           Pick(0, 2) * 0.05, Pick(0, 2) * 0.05};
+    m_world.same_id_share = Pick(0, 2) * 0.5;
     m_world.crash_pause = Millis(Pick(800, 8'000));
   }
 
@@ -54,7 +54,7 @@
   }
 
   std::string AnyWorker() {
-    return m_world.LifeOn(HostOf(Pick(0, kWorkers - 1)));
+    return m_world.LiveWorkerOn(HostOf(Pick(0, kWorkers - 1)));
   }
 
   void Submit(int round) {
@@ -94,8 +94,8 @@
     }
     switch (Pick(0, 11)) {
       case 0:
-        m_world.CrashAndBeginAgain(worker, Millis(Pick(300, 9'000)),
-                                   Millis(Pick(10, 6'000)));
+        m_world.CrashAndRestart(worker, Millis(Pick(300, 9'000)),
+                                Millis(Pick(10, 6'000)));
         break;
       case 1:
         m_world.Crash(worker, Millis(Pick(500, 9'000)));
@@ -136,9 +136,9 @@
 
   void CrashRack(int rack) {
     for (int worker = 2 * rack; worker < 2 * rack + 2; ++worker) {
-      const std::string life = m_world.LifeOn(HostOf(worker));
+      const std::string life = m_world.LiveWorkerOn(HostOf(worker));
       if (!life.empty()) {
-        m_world.CrashAndBeginAgain(life, Millis(Pick(1'000, 5'000)));
+        m_world.CrashAndRestart(life, Millis(Pick(1'000, 5'000)));
       }
     }
   }
@@ -147,10 +147,10 @@
     while (!m_cut.empty()) {
       ReconnectOne();
     }
-    m_world.weather = {};
+    m_world.call_faults = {};
     m_world.Advance(Millis(10'000));
     for (int worker = 0; worker < kWorkers; ++worker) {
-      const std::string life = m_world.LifeOn(HostOf(worker));
+      const std::string life = m_world.LiveWorkerOn(HostOf(worker));
       if (!life.empty()) {
         m_world.Resize(life, {4'000, 16'000, 0});
       }
@@ -162,7 +162,7 @@
     for (const std::string& id : m_jobs) {
       const JobState state = m_world.StateOf(id);
       // A task under which two workers went down may be given up.
-      const bool may_fail = m_world.MostDeathsUnder(id) >= 2;
+      const bool may_fail = m_world.MaxWorkersLostUnder(id) >= 2;
       if (state != JobState::kSucceeded && state != JobState::kCancelled &&
           !(state == JobState::kFailed && may_fail)) {
         wrong.push_back(id + " is " + JobStateName(state));
@@ -185,7 +185,7 @@
 
 // LAURELHALL_SEEDS sets the number of seeds, LAURELHALL_FIRST_SEED the first.
 TEST_CASE("Dispatcher, seeded worker restarts, nothing runs twice or is lost") {
-  for (const uint64_t seed : SeedsToPlay(40)) {
+  for (const uint64_t seed : SeedsToRun(40)) {
     for (const std::string& wrong : LifeSchedule(seed, {}).Play()) {
       FAIL_CHECK("seed ", seed, ": ", wrong);
     }
@@ -219,7 +219,7 @@
     "Dispatcher, incarnations of workers are ignored, the schedules detect "
     "it") {
   DispatchMutations mutations;
-  mutations.is_birth_ignored = true;
+  mutations.is_incarnation_ignored = true;
   bool is_noticed = false;
   for (uint64_t seed = 1; seed <= 25 && !is_noticed; ++seed) {
     is_noticed = !LifeSchedule(seed, mutations).Play().empty();
--- a/packages/dispatch/tests/load_schedule.h
+++ b/packages/dispatch/tests/load_schedule.h
@@ -23,8 +23,8 @@
       : m_has_relays(seed % 2 == 0),
         m_has_wave(seed % 4 >= 2),
         m_world(seed, mutations, m_has_relays ? kFewRelays : RelayBounds()) {
-    m_world.is_calm = true;
-    m_world.rise = Millis(Pick(0, 3) * 400);
+    m_world.is_only_control_disturbed = true;
+    m_world.startup_time = Millis(Pick(0, 3) * 400);
     m_world.AddWorkers(kWorkers);
     if (m_has_relays) {
       m_world.AddRelays(4);
@@ -54,7 +54,7 @@
       Submit();
       InjectLoad();
       if (until_election <= Millis(0)) {
-        m_world.Elect(Millis(Pick(0, 600)));
+        m_world.ElectOtherLeader(Millis(Pick(0, 600)));
         until_election = Millis(Pick(1'800, 2'800));
       }
       m_world.Advance(step);
@@ -82,7 +82,7 @@
 
   void InjectLoad() {
     m_world.SlowCommits(Millis(Pick(300, 1'500)));
-    m_world.SlowWords(Millis(Pick(100, 900)));
+    m_world.SlowConfirmations(Millis(Pick(100, 900)));
     m_world.SlowThreads(Millis(Pick(0, 3) * 100));
     m_world.SlowCalls(Millis(1), Millis(Pick(4, 150)));
   }
--- a/packages/dispatch/tests/load_schedule_test.cc
+++ b/packages/dispatch/tests/load_schedule_test.cc
@@ -21,7 +21,7 @@
 TEST_CASE(
     "Dispatcher, seeded loads on control hosts, nothing runs twice, ends early "
     "or is lost") {
-  for (const uint64_t seed : SeedsToPlay(40)) {
+  for (const uint64_t seed : SeedsToRun(40)) {
     if (IsFailingSeed(seed)) {
       continue;
     }
--- a/packages/dispatch/tests/organisation_schedule_test.cc
+++ b/packages/dispatch/tests/organisation_schedule_test.cc
@@ -29,8 +29,8 @@
     if (m_has_relays) {
       m_world.AddRelays(3);
     }
-    m_world.weather = {Pick(0, 2) * 0.03, Pick(0, 2) * 0.03, Pick(0, 2) * 0.06,
-                       Pick(0, 2) * 0.05};
+    m_world.call_faults = {Pick(0, 2) * 0.03, Pick(0, 2) * 0.03,
+                           Pick(0, 2) * 0.06, Pick(0, 2) * 0.05};
     Reconfigure(kLargestCap);
   }
 
@@ -85,7 +85,8 @@
   }
 
   void InjectFaults() {
-    const std::string worker = m_world.LifeOn(HostOf(Pick(0, kWorkers - 1)));
+    const std::string worker =
+        m_world.LiveWorkerOn(HostOf(Pick(0, kWorkers - 1)));
     switch (worker.empty() ? 9 : Pick(0, 10)) {
       case 0:
         m_world.Crash(worker, Millis(Pick(500, 5'000)));
@@ -126,7 +127,7 @@
     while (!m_cut.empty()) {
       ReconnectOne();
     }
-    m_world.weather = {};
+    m_world.call_faults = {};
   }
 
   std::vector<std::string> Check() {
@@ -134,7 +135,7 @@
     for (const std::string& id : m_jobs) {
       const JobState state = m_world.StateOf(id);
       // A task under which two workers went down may be given up.
-      const bool may_fail = m_world.MostDeathsUnder(id) >= 2;
+      const bool may_fail = m_world.MaxWorkersLostUnder(id) >= 2;
       if (state != JobState::kSucceeded &&
           !(state == JobState::kFailed && may_fail)) {
         wrong.push_back(id + " is " + JobStateName(state));
@@ -164,7 +165,7 @@
 // LAURELHALL_SEEDS sets the number of seeds, LAURELHALL_FIRST_SEED the first.
 TEST_CASE(
     "Dispatcher, seeded caps and losses, no cap is exceeded, no job starves") {
-  for (const uint64_t seed : SeedsToPlay(kDefaultSeedCount)) {
+  for (const uint64_t seed : SeedsToRun(kDefaultSeedCount)) {
     for (const std::string& wrong : OrganisationSchedule(seed, {}).Play()) {
       FAIL_CHECK("seed ", seed, ": ", wrong);
     }
@@ -174,7 +175,7 @@
 TEST_CASE(
     "Dispatcher, caps are checked for plans only, the schedules detect it") {
   DispatchMutations mutations;
-  mutations.is_cap_planned_only = true;
+  mutations.is_cap_checked_for_plans_only = true;
   CHECK(IsDetected(mutations));
 }
 
--- a/packages/dispatch/tests/relay_pool_test.cc
+++ b/packages/dispatch/tests/relay_pool_test.cc
@@ -109,7 +109,7 @@
                   "RelayPool, leader is new, orders wait for relays") {
   HoldAll();
   AdvanceWithRelays(Millis(2'000));
-  CHECK(m_direct.max_open() <= m_bounds.most_direct);
+  CHECK(m_direct.max_open() <= m_bounds.max_direct_connections);
   CHECK(m_handed_over == kWorkers - m_direct.max_open());
   CHECK(m_failed_holds == 0);
 }
--- a/packages/dispatch/tests/relay_test.cc
+++ b/packages/dispatch/tests/relay_test.cc
@@ -140,8 +140,8 @@
   const auto pick = [&random](int least, int most) {
     return std::uniform_int_distribution<int>(least, most)(random);
   };
-  world.weather = {pick(0, 2) * 0.05, pick(0, 2) * 0.05, pick(0, 2) * 0.05,
-                   pick(0, 2) * 0.05};
+  world.call_faults = {pick(0, 2) * 0.05, pick(0, 2) * 0.05, pick(0, 2) * 0.05,
+                       pick(0, 2) * 0.05};
   std::vector<std::string> jobs;
   size_t killed = 0;
   for (int round = 0; round < 24; ++round) {
@@ -172,7 +172,7 @@
   for (size_t relay = 0; relay < 6; ++relay) {
     world.CutRelay(relay, false);
   }
-  world.weather = {};
+  world.call_faults = {};
   world.Advance(Millis(45'000));
   std::vector<std::string> violations = world.violations();
   for (const std::string& id : jobs) {
@@ -188,7 +188,7 @@
 // from LAURELHALL_FIRST_SEED.
 TEST_CASE(
     "Dispatcher, seeded failures of relays, nothing runs twice or is lost") {
-  for (const uint64_t seed : SeedsToPlay(40)) {
+  for (const uint64_t seed : SeedsToRun(40)) {
     for (const std::string& violation : PlayRelaySchedule(seed, {})) {
       FAIL_CHECK("seed ", seed, ": ", violation);
     }
@@ -216,8 +216,9 @@
 TEST_CASE("RelayPool, a protocol step is left out, the schedules detect it") {
   const Mutant mutants[] = {
       {"term ignored", &DispatchMutations::is_relay_term_ignored},
-      {"handed order forgotten", &DispatchMutations::is_handed_order_forgotten},
-      {"barring skipped", &DispatchMutations::is_barring_skipped},
+      {"handed order forgotten",
+       &DispatchMutations::is_relayed_order_assumed_unsent},
+      {"barring skipped", &DispatchMutations::is_unanswered_start_forgotten},
   };
   for (const Mutant& mutant : mutants) {
     DispatchMutations mutations;
--- a/packages/dispatch/tests/room_schedule_test.cc
+++ b/packages/dispatch/tests/room_schedule_test.cc
@@ -14,7 +14,7 @@
   CapacitySchedule(uint64_t seed, const DispatchMutations& mutations)
       : m_world(seed, mutations) {
     m_world.AddWorkers(kWorkers);
-    m_world.weather = {Pick(0, 2) * 0.03, Pick(0, 2) * 0.03, 0, 0};
+    m_world.call_faults = {Pick(0, 2) * 0.03, Pick(0, 2) * 0.03, 0, 0};
   }
 
   std::vector<std::string> Play() {
@@ -29,7 +29,7 @@
     for (int worker = 0; worker < kWorkers; ++worker) {
       m_world.Resize("w" + std::to_string(worker), {4'000, 16'000, 0});
     }
-    m_world.weather = {};
+    m_world.call_faults = {};
     m_world.Advance(Millis(60'000));
     std::vector<std::string> violations = m_world.violations();
     for (const std::string& job : m_jobs) {
@@ -88,7 +88,7 @@
 TEST_CASE(
     "Dispatcher, seeded changes of capacity and leader, no start exceeds a "
     "capacity") {
-  for (const uint64_t seed : SeedsToPlay(60)) {
+  for (const uint64_t seed : SeedsToRun(60)) {
     for (const std::string& violation : CapacitySchedule(seed, {}).Play()) {
       FAIL_CHECK("seed ", seed, ": ", violation);
     }
@@ -99,7 +99,7 @@
     "Dispatcher, age of committed capacity is ignored, the schedules detect "
     "it") {
   DispatchMutations mutations;
-  mutations.is_room_age_ignored = true;
+  mutations.is_capacity_age_ignored = true;
   bool is_detected = false;
   for (uint64_t seed = 1; seed <= 60 && !is_detected; ++seed) {
     is_detected = !CapacitySchedule(seed, mutations).Play().empty();
--- a/packages/dispatch/tests/sight_test.cc
+++ b/packages/dispatch/tests/sight_test.cc
@@ -11,7 +11,7 @@
   /// Sum over all control hosts; those that do not lead report zero.
   uint64_t Workers(const std::string& state) const {
     uint64_t sum = 0;
-    for (const DispatchSight& sight : world.sights()) {
+    for (const SchedulerStatus& sight : world.sights()) {
       sum += CountOf(sight.workers, state);
     }
     return sum;
@@ -19,15 +19,15 @@
 
   uint64_t Waits(const std::string& why) const {
     uint64_t sum = 0;
-    for (const DispatchSight& sight : world.sights()) {
+    for (const SchedulerStatus& sight : world.sights()) {
       sum += CountOf(sight.waits, why);
     }
     return sum;
   }
 
-  uint64_t Sum(uint64_t DispatchSight::*count) const {
+  uint64_t Sum(uint64_t SchedulerStatus::*count) const {
     uint64_t sum = 0;
-    for (const DispatchSight& sight : world.sights()) {
+    for (const SchedulerStatus& sight : world.sights()) {
       sum += sight.*count;
     }
     return sum;
@@ -58,15 +58,15 @@
   world.AddWorkers(3);
   world.Advance(Millis(3'000));
   CHECK(Workers("usable") == 3);
-  CHECK(Sum(&DispatchSight::open_jobs) == 0);
+  CHECK(Sum(&SchedulerStatus::open_jobs) == 0);
 }
 
 TEST_CASE_FIXTURE(SightFixture,
                   "Sight, no worker, job waits with reason no-worker") {
   world.Submit("a", {LongStep(2)});
   world.Advance(Millis(4'000));
-  CHECK(Sum(&DispatchSight::open_jobs) == 1);
-  CHECK(Sum(&DispatchSight::waiting_jobs) == 1);
+  CHECK(Sum(&SchedulerStatus::open_jobs) == 1);
+  CHECK(Sum(&SchedulerStatus::waiting_jobs) == 1);
   CHECK(Waits("no-worker") == 1);
 }
 
@@ -79,7 +79,7 @@
   world.ChangeLeader(Millis(0));
   world.Advance(Millis(5'000));
   CHECK(Workers("usable") == 3);
-  CHECK(Sum(&DispatchSight::open_jobs) == 1);
+  CHECK(Sum(&SchedulerStatus::open_jobs) == 1);
 }
 
 }  // namespace
--- a/packages/dispatch/tests/world.cc
+++ b/packages/dispatch/tests/world.cc
@@ -58,7 +58,7 @@
   return step;
 }
 
-std::vector<uint64_t> SeedsToPlay(uint64_t usual) {
+std::vector<uint64_t> SeedsToRun(uint64_t usual) {
   std::vector<uint64_t> seeds(NumberFromEnvironment("LAURELHALL_SEEDS", usual));
   std::iota(seeds.begin(), seeds.end(),
             NumberFromEnvironment("LAURELHALL_FIRST_SEED", 1));
@@ -161,12 +161,12 @@
 }
 
 void FakeWorker::Resize(const Resources& capacity, SteadyTime now) {
-  m_capacity_before = RoomAsKnown(now, kRoomGrace);
+  m_capacity_before = AssumedCapacity(now, kRoomGrace);
   m_capacity = capacity;
   m_resized_at = now;
 }
 
-Resources FakeWorker::RoomAsKnown(SteadyTime now, Millis grace) const {
+Resources FakeWorker::AssumedCapacity(SteadyTime now, Millis grace) const {
   const bool is_new =
       m_resized_at != SteadyTime() && now - m_resized_at < grace;
   if (!is_new) {
@@ -182,7 +182,7 @@
   m_runs.clear();
 }
 
-void FakeWorker::BeginAgain(SteadyTime now) {
+void FakeWorker::RestartProcess(SteadyTime now) {
   const auto now_ms = std::chrono::floor<Millis>(now.time_since_epoch());
   m_is_dead = false;
   m_born = WallTime(now_ms);
@@ -238,7 +238,7 @@
       backlog.push_back(std::move(task));
     } else if (world.m_round > Millis(0)) {
       if (next_round.empty()) {
-        world.After(world.m_round, [this] { ComeRound(); });
+        world.After(world.m_round, [this] { RunRound(); });
       }
       next_round.push_back(std::move(task));
     } else {
@@ -246,7 +246,7 @@
     }
   }
 
-  void ComeRound() {
+  void RunRound() {
     for (const auto& task : std::exchange(next_round, {})) {
       task();
     }
@@ -255,8 +255,8 @@
   // Discards an answer that the thread reads after the call's timeout. Only if
   // threads or calls are slow, so that a freeze alone doesn't time a call out.
   template <typename Result>
-  std::function<void(Result)> InTime(Millis timeout,
-                                     std::function<void(Result)> done) {
+  std::function<void(Result)> WithTimeout(Millis timeout,
+                                          std::function<void(Result)> done) {
     if (world.m_round == Millis(0) && world.m_most_delay <= kMaxUsualDelay) {
       return done;
     }
@@ -356,7 +356,8 @@
 
   void Read(const std::function<void(const Ledger&)>& reader) const override {
     if (std::exchange(m_is_reading, true)) {
-      m_world.Violate("the ledger is read within a read, which holds its lock");
+      m_world.AddViolation(
+          "the ledger is read within a read, which holds its lock");
     }
     reader(m_host.applied);
     m_is_reading = false;
@@ -382,7 +383,7 @@
     Call(
         order.worker.id,
         [this, order, term = OrderTerm(order.fence)](FakeWorker& worker) {
-          if (m_world.Chance(m_world.weather.refused)) {
+          if (m_world.Chance(m_world.call_faults.refused)) {
             return CallReply{CallOutcome::kRefused, {}};
           }
           const auto& spec = m_world.m_ledger.FindJob(order.task.job)
@@ -390,14 +391,15 @@
           FakeWorker::Run run;
           run.run = order.run;
           run.need = scheduling::RoomOf(spec);
-          run.ends_at = m_world.Now() + std::chrono::duration_cast<Millis>(
-                                            spec.estimate * m_world.stretch);
-          if (m_world.stretch != 1 && !spec.is_persistent) {
+          run.ends_at =
+              m_world.Now() + std::chrono::duration_cast<Millis>(
+                                  spec.estimate * m_world.run_time_factor);
+          if (m_world.run_time_factor != 1 && !spec.is_persistent) {
             run.begun_at = m_world.Now();
           }
-          if (spec.is_persistent && m_world.rise > Millis(0)) {
+          if (spec.is_persistent && m_world.startup_time > Millis(0)) {
             run.begun_at = m_world.Now();
-            run.ends_at = m_world.Now() + m_world.rise;
+            run.ends_at = m_world.Now() + m_world.startup_time;
           }
           run.fails = m_world.Chance(m_world.failing);
           run.is_persistent = spec.is_persistent;
@@ -409,7 +411,7 @@
           }
           return reply;
         },
-        m_host.InTime(order.timeout, std::move(done)));
+        m_host.WithTimeout(order.timeout, std::move(done)));
   }
 
   void Stop(StopOrder order, std::function<void(CallReply)> done) override {
@@ -425,7 +427,7 @@
           }
           return reply;
         },
-        m_host.InTime(order.timeout, std::move(done)));
+        m_host.WithTimeout(order.timeout, std::move(done)));
   }
 
   void Pace(PaceOrder order, std::function<void(CallReply)> done) override {
@@ -434,12 +436,12 @@
         [](FakeWorker&) {
           return CallReply{CallOutcome::kDone, {}};
         },
-        m_host.InTime(order.timeout, std::move(done)));
+        m_host.WithTimeout(order.timeout, std::move(done)));
   }
 
   void Hold(HoldOrder order, std::function<void(HoldReply)> done) override {
     m_world.After(m_world.Delay(), [this, order,
-                                    done = m_host.WhenAwake(m_host.InTime(
+                                    done = m_host.WhenAwake(m_host.WithTimeout(
                                         order.timeout, std::move(done)))] {
       PollWorker(order, m_world.Now() + order.wait, done);
     });
@@ -483,7 +485,7 @@
             std::function<void(CallReply)> to) {
     const auto done = m_host.WhenAwake(std::move(to));
     FakeWorker& worker = *m_world.m_workers.at(id);
-    const Weather& weather = m_world.weather;
+    const CallFaults& call_faults = m_world.call_faults;
     const auto time_out = [this, done] {
       m_world.After(Millis(450), [done] { done({CallOutcome::kUnknown, {}}); });
     };
@@ -491,9 +493,9 @@
       m_world.After(m_world.Delay(), [done] {
         done({CallOutcome::kNotReached, {}});
       });
-    } else if (IsCut(id) || m_world.Chance(weather.lost)) {
+    } else if (IsCut(id) || m_world.Chance(call_faults.lost)) {
       time_out();
-    } else if (m_world.Chance(weather.late)) {
+    } else if (m_world.Chance(call_faults.late)) {
       std::uniform_int_distribution<int64_t> late(2'000, kMaxLateness.count());
       // A later incarnation must refuse an order meant for an earlier one once
       // it has received an order of a leader. Before that it can't refuse it,
@@ -509,7 +511,7 @@
                       }
                     });
       time_out();
-    } else if (m_world.Chance(weather.unheard)) {
+    } else if (m_world.Chance(call_faults.answer_lost)) {
       m_world.After(m_world.Delay(), [act, &worker] {
         if (!worker.is_dead()) {
           act(worker);
@@ -529,9 +531,9 @@
   void CheckTerm(const FakeWorker& worker, uint64_t term) {
     uint64_t& newest = m_world.m_newest_term[worker.id()];
     if (term < newest) {
-      m_world.Violate("an order of term " + std::to_string(term) +
-                      " is carried out on " + worker.id() + " after one of " +
-                      std::to_string(newest));
+      m_world.AddViolation("an order of term " + std::to_string(term) +
+                           " is carried out on " + worker.id() +
+                           " after one of " + std::to_string(newest));
     }
     newest = std::max(newest, term);
   }
@@ -542,7 +544,7 @@
 };
 
 // Actions on hosts. Maintained hosts lose their worker and come back with
-// another one, or with the same id if has_same_ids is set.
+// another one, or with the same id if keeps_worker_ids is set.
 class World::Hosts final : public HostAdminPort {
  public:
   Hosts(World& world, HostView& host) : m_world(world), m_host(host) {}
@@ -557,7 +559,7 @@
     m_world.After(m_world.ActDelay(), [this, act, done] {
       CheckFence(act);
       m_world.m_maintained.push_back(act.host);
-      if (m_world.has_same_ids) {
+      if (m_world.keeps_worker_ids) {
         RestartWorkers(act.host);
         done(HostActOutcome::kDone);
         return;
@@ -565,7 +567,7 @@
       EndWorkers(act.host);
       done(HostActOutcome::kDone);
       m_world.After(Millis(2'000),
-                    [this, host = act.host] { m_world.Revive(host); });
+                    [this, host = act.host] { m_world.AddWorkerIfNone(host); });
     });
   }
 
@@ -582,8 +584,9 @@
       if (IsSpare(act.pool)) {
         return;  // The host is off, so no worker comes back.
       }
-      m_world.After(Millis(1'500),
-                    [this, act] { m_world.Revive(act.host, act.pool); });
+      m_world.After(Millis(1'500), [this, act] {
+        m_world.AddWorkerIfNone(act.host, act.pool);
+      });
     });
   }
 
@@ -604,9 +607,9 @@
   void CheckFence(const HostAct& act) {
     uint64_t& newest = m_world.m_newest_fence[act.host];
     if (act.fence < newest) {
-      m_world.Violate(act.host + " is ordered with fence " +
-                      std::to_string(act.fence) + " after " +
-                      std::to_string(newest));
+      m_world.AddViolation(act.host + " is ordered with fence " +
+                           std::to_string(act.fence) + " after " +
+                           std::to_string(newest));
     }
     newest = std::max(newest, act.fence);
   }
@@ -622,7 +625,7 @@
 
   void RestartWorkers(const std::string& host) {
     for (const std::string& id : m_world.m_ledger.WorkersOn(host)) {
-      m_world.CrashAndBeginAgain(id, Millis(2'000));
+      m_world.CrashAndRestart(id, Millis(2'000));
     }
   }
 
@@ -632,7 +635,7 @@
         m_world.m_cut_off += m_world.m_workers.at(id)->runs().size();
         for (const auto& [task, run] : m_world.m_workers.at(id)->runs()) {
           if (run.is_persistent && run.PercentAt(m_world.Now()) == 100) {
-            m_world.CheckEnding(task, "by taking its host down");
+            m_world.CheckEndAllowed(task, "by taking its host down");
           }
         }
         m_world.Cut(id, true);
@@ -875,13 +878,14 @@
       id, info.capacity, Millis(1'000 * static_cast<int>(m_workers.size())));
   worker->on_done = [this](const TaskId& task) { m_noted_done.insert(task); };
   worker->on_lapsed = [this](const TaskId& task, const FakeWorker::Run& run) {
-    if (is_calm && run.is_persistent && run.PercentAt(Now()) == 100) {
-      CheckEnding(task, "by a lapse");
+    if (is_only_control_disturbed && run.is_persistent &&
+        run.PercentAt(Now()) == 100) {
+      CheckEndAllowed(task, "by a lapse");
     }
   };
   m_workers[id] = std::move(worker);
-  m_words_of[id] = 1;
-  BeginToBeat({info, 1, WallTime(Millis(1))});
+  m_announcement_sequences[id] = 1;
+  SetAnnouncement({info, 1, WallTime(Millis(1))});
   // Also announces it, as a worker known from the ledger has announced itself.
   After(Millis(0), [this, info] {
     m_hosts[m_leader]->dispatcher->Ask(
@@ -891,29 +895,29 @@
   });
   // The workers' announcements are spread over the interval.
   After(kAnnouncementPeriod * static_cast<int>(m_workers.size() % 8) / 8,
-        [this, id] { Beat(id); });
+        [this, id] { RepeatAnnouncement(id); });
 }
 
 // An announcement that is older than the worker's newest one is not repeated.
-void World::BeginToBeat(const AnnounceWorker& word) {
-  if (m_words_of[word.info.id] == word.sequence) {
-    m_told[word.info.id] = word;
+void World::SetAnnouncement(const AnnounceWorker& word) {
+  if (m_announcement_sequences[word.info.id] == word.sequence) {
+    m_repeated_announcements[word.info.id] = word;
   }
 }
 
 // Sends the worker's announcement to the control hosts in turn. If one can't
 // answer it, it is sent to the leader.
-void World::Beat(const std::string& id) {
-  After(kAnnouncementPeriod, [this, id] { Beat(id); });
-  const auto told = m_told.find(id);
+void World::RepeatAnnouncement(const std::string& id) {
+  After(kAnnouncementPeriod, [this, id] { RepeatAnnouncement(id); });
+  const auto told = m_repeated_announcements.find(id);
   const FakeWorker& worker = *m_workers.at(id);
-  if (told == m_told.end() || worker.is_dead() || m_cut.contains(id) ||
-      m_mute.contains(id)) {
+  if (told == m_repeated_announcements.end() || worker.is_dead() ||
+      m_cut.contains(id) || m_mute.contains(id)) {
     return;
   }
   AnnounceWorker word = told->second;
   word.clock = worker.Clock(Now());
-  m_hosts[++m_beats % m_hosts.size()]->dispatcher->Ask(
+  m_hosts[++m_announcements_sent % m_hosts.size()]->dispatcher->Ask(
       word, [this, word](const Reply& reply) {
         if (reply.outcome == Outcome::kUnavailable) {
           m_hosts[m_leader]->dispatcher->Ask(word, [](const Reply&) {});
@@ -933,57 +937,58 @@
   if (m_workers.at(worker)->is_dead()) {
     return;
   }
-  NoteDeaths(*m_workers.at(worker));
+  CountLostWorker(*m_workers.at(worker));
   m_workers.at(worker)->Die();
   const scheduling::Worker* known = m_ledger.FindWorker(worker);
   if (back_in == Millis(0) || known == nullptr) {
     return;
   }
   After(back_in, [this, info = known->info] {
-    Revive(info.host, info.service, info.rack);
+    AddWorkerIfNone(info.host, info.service, info.rack);
   });
 }
 
 // Adds a worker to a host unless it has one: a host that crashed and was then
 // taken down comes back once only.
-void World::Revive(const std::string& host,
-                   const std::string& service,
-                   const std::string& rack) {
-  if (LifeOn(host).empty()) {
+void World::AddWorkerIfNone(const std::string& host,
+                            const std::string& service,
+                            const std::string& rack) {
+  if (LiveWorkerOn(host).empty()) {
     AddWorker(host, service, rack);
   }
 }
 
-void World::CrashAndBeginAgain(const std::string& worker,
-                               Millis down_for,
-                               Millis told_in) {
+void World::CrashAndRestart(const std::string& worker,
+                            Millis down_for,
+                            Millis announced_in) {
   FakeWorker& crashed = *m_workers.at(worker);
   const scheduling::Worker* known = m_ledger.FindWorker(worker);
   if (crashed.is_dead() || known == nullptr) {
     return;
   }
-  NoteDeaths(crashed);
+  CountLostWorker(crashed);
   crashed.Die();
   scheduling::WorkerInfo info = known->info;
   info.is_draining = false;
-  After(down_for, [this, &crashed, info, told_in]() mutable {
-    if (!LifeOn(info.host).empty()) {
+  After(down_for, [this, &crashed, info, announced_in]() mutable {
+    if (!LiveWorkerOn(info.host).empty()) {
       return;  // A host has one live worker at a time.
     }
-    crashed.BeginAgain(Now());
+    crashed.RestartProcess(Now());
     info.capacity = crashed.capacity();
-    m_words_of[info.id] = 0;
-    m_told.erase(info.id);
+    m_announcement_sequences[info.id] = 0;
+    m_repeated_announcements.erase(info.id);
     m_newest_term.erase(info.id);
-    After(told_in, [this, info, sequence = ++m_words_of[info.id],
-                    born = crashed.born()] {
-      BeginToBeat({info, sequence, born});
-      Announce(info, sequence, born);
-    });
+    After(announced_in,
+          [this, info, sequence = ++m_announcement_sequences[info.id],
+           born = crashed.born()] {
+            SetAnnouncement({info, sequence, born});
+            Announce(info, sequence, born);
+          });
   });
 }
 
-std::string World::LifeOn(const std::string& host) const {
+std::string World::LiveWorkerOn(const std::string& host) const {
   std::string newest;
   for (const std::string& id : m_ledger.WorkersOn(host)) {
     if (!m_workers.at(id)->is_dead()) {
@@ -993,16 +998,16 @@
   return newest;
 }
 
-void World::NoteDeaths(const FakeWorker& worker) {
+void World::CountLostWorker(const FakeWorker& worker) {
   for (const auto& [task, run] : worker.runs()) {
-    ++m_deaths_under[FormatTaskId(task)];
+    ++m_workers_lost_under[FormatTaskId(task)];
   }
 }
 
-uint64_t World::MostDeathsUnder(const std::string& job) const {
+uint64_t World::MaxWorkersLostUnder(const std::string& job) const {
   uint64_t most = 0;
-  for (auto task = m_deaths_under.lower_bound(job + ".");
-       task != m_deaths_under.end() && task->first.starts_with(job + ".");
+  for (auto task = m_workers_lost_under.lower_bound(job + ".");
+       task != m_workers_lost_under.end() && task->first.starts_with(job + ".");
        ++task) {
     most = std::max(most, task->second);
   }
@@ -1023,8 +1028,8 @@
   ++m_starts_of[task];
   if (CrashesOf(task) >= kMaxCrashes &&
       ++m_starts_after_crashes[task] == kMaxStartsAfterCrashes) {
-    Violate(task +
-            " is started three times more after it crashed three workers");
+    AddViolation(task +
+                 " is started three times more after it crashed three workers");
   }
 }
 
@@ -1039,8 +1044,8 @@
       return;  // It was stopped before the crash.
     }
     ++m_crashes_of[task];
-    if (reborn > 0 && Chance(reborn)) {
-      CrashAndBeginAgain(worker, crash_pause);
+    if (same_id_share > 0 && Chance(same_id_share)) {
+      CrashAndRestart(worker, crash_pause);
     } else {
       Crash(worker, crash_pause);
     }
@@ -1109,12 +1114,12 @@
   return answer;
 }
 
-void World::Elect(Millis unaware) {
+void World::ElectOtherLeader(Millis unaware_for) {
   if (std::exchange(m_is_electing, true)) {
     return;
   }
   m_hosts[m_leader]->has_quorum = false;
-  After(kMinElectionTime, [this, unaware] {
+  After(kMinElectionTime, [this, unaware_for] {
     m_is_electing = false;
     m_hosts[m_leader]->is_behind = true;
     for (const auto& open : m_open_commits) {
@@ -1124,11 +1129,11 @@
         }
       }
     }
-    ChangeLeader(unaware);
+    ChangeLeader(unaware_for);
   });
 }
 
-void World::ChangeLeader(Millis unaware) {
+void World::ChangeLeader(Millis unaware_for) {
   for (const auto& open : std::exchange(m_open_commits, {})) {
     open->is_over = true;
   }
@@ -1141,9 +1146,9 @@
   next.has_quorum = true;
   next.is_behind = false;
   next.applied.Load(m_ledger.Save());
-  old.is_behind = unaware > Millis(0);
+  old.is_behind = unaware_for > Millis(0);
   next.dispatcher->BeginToLead(m_term);
-  After(unaware, [&old, old_term] {
+  After(unaware_for, [&old, old_term] {
     if (old.term == old_term) {
       old.dispatcher->EndToLead();
     }
@@ -1152,7 +1157,7 @@
 
 void World::Resize(const std::string& worker,
                    const Resources& capacity,
-                   Millis told_in) {
+                   Millis announced_in) {
   m_workers.at(worker)->Resize(capacity, Now());
   const scheduling::Worker* known = m_ledger.FindWorker(worker);
   if (known == nullptr) {
@@ -1160,13 +1165,14 @@
   }
   scheduling::WorkerInfo info = known->info;
   info.capacity = capacity;
-  After(told_in, [this, info, sequence = ++m_words_of[worker],
-                  born = m_workers.at(worker)->born()] {
-    if (m_workers.at(info.id)->born() == born) {
-      BeginToBeat({info, sequence, born});
-    }
-    Announce(info, sequence, born);
-  });
+  After(announced_in,
+        [this, info, sequence = ++m_announcement_sequences[worker],
+         born = m_workers.at(worker)->born()] {
+          if (m_workers.at(info.id)->born() == born) {
+            SetAnnouncement({info, sequence, born});
+          }
+          Announce(info, sequence, born);
+        });
 }
 
 void World::Announce(const scheduling::WorkerInfo& info,
@@ -1180,7 +1186,7 @@
   m_hosts[m_leader]->dispatcher->Ask(
       AnnounceWorker{info, sequence, born, m_workers.at(info.id)->Clock(Now())},
       [this, info, sequence, born, is_reachable](const Reply& reply) {
-        const bool is_newest = m_words_of[info.id] == sequence &&
+        const bool is_newest = m_announcement_sequences[info.id] == sequence &&
                                m_workers.at(info.id)->born() == born;
         if (reply.outcome != Outcome::kOk && is_newest && is_reachable) {
           After(Millis(200), [this, info, sequence, born] {
@@ -1196,11 +1202,11 @@
   ChangeLeader(Millis(0));
 }
 
-void World::FreezeLeader(Millis time, Millis unaware) {
+void World::FreezeLeader(Millis time, Millis unaware_for) {
   Host& frozen = *m_hosts[m_leader];
   frozen.is_frozen = true;
   Advance(kElectionTime);
-  ChangeLeader(time - kElectionTime + unaware);
+  ChangeLeader(time - kElectionTime + unaware_for);
   Advance(time - kElectionTime);
   Wake(frozen);
 }
@@ -1272,11 +1278,11 @@
       running != worker.runs().end() && running->second.run == order.run &&
       running->second.is_persistent && running->second.PercentAt(Now()) == 100;
   if (ends_running_task) {
-    CheckEnding(order.task, "by a stop");
+    CheckEndAllowed(order.task, "by a stop");
   }
 }
 
-void World::CheckEnding(const TaskId& task, const char* how) {
+void World::CheckEndAllowed(const TaskId& task, const char* how) {
   const scheduling::Job* job = m_ledger.FindJob(task.job);
   if (job->state == scheduling::JobState::kCancelled) {
     return;
@@ -1288,9 +1294,9 @@
     away += other.index != task.index && IsAway(other) ? 1 : 0;
   }
   if (step.may_miss > 0 && away >= step.may_miss) {
-    Violate(FormatTaskId(task) + " is ended " + how + "; " +
-            std::to_string(away) + " others of its step are away, and " +
-            std::to_string(step.may_miss) + " may be");
+    AddViolation(FormatTaskId(task) + " is ended " + how + "; " +
+                 std::to_string(away) + " others of its step are away, and " +
+                 std::to_string(step.may_miss) + " may be");
   }
   m_ended_by_order.insert(task);
 }
@@ -1307,7 +1313,7 @@
   return calls;
 }
 
-void World::Violate(const std::string& text) {
+void World::AddViolation(const std::string& text) {
   m_violations.push_back(
       std::to_string(
           std::chrono::floor<Millis>(Now().time_since_epoch()).count()) +
@@ -1325,22 +1331,22 @@
   CountStart(task);
   CrashLater(task, worker.id());
   if (m_noted_done.contains(order.task)) {
-    Violate(task + " is started after its end was acknowledged");
+    AddViolation(task + " is started after its end was acknowledged");
   }
   for (const auto& [id, other] : m_workers) {
     if (id != worker.id() && other->runs().contains(order.task)) {
-      Violate(task + " runs on " + id + " and " + worker.id());
+      AddViolation(task + " runs on " + id + " and " + worker.id());
     }
   }
   const Millis grace = m_is_late ? kRoomGrace + kMaxLateness : kRoomGrace;
-  if (!scheduling::Fits(worker.Used(), worker.RoomAsKnown(Now(), grace))) {
-    Violate(task + " exceeds the capacity of " + worker.id());
+  if (!scheduling::Fits(worker.Used(), worker.AssumedCapacity(Now(), grace))) {
+    AddViolation(task + " exceeds the capacity of " + worker.id());
   }
   CheckCap(order);
   const scheduling::Job& job = *m_ledger.FindJob(order.task.job);
   for (const uint32_t earlier : job.spec.steps[order.task.step].depends_on) {
     if (job.step_left[earlier] > 0) {
-      Violate(task + " is started before step " + std::to_string(earlier));
+      AddViolation(task + " is started before step " + std::to_string(earlier));
     }
   }
 }
@@ -1386,14 +1392,14 @@
     }
   }
   if (in_use > cap.millicores) {
-    Violate(FormatTaskId(order.task) + " is over the cap of " + organisation +
-            ", " + std::to_string(in_use) + " of " +
-            std::to_string(cap.millicores));
+    AddViolation(FormatTaskId(order.task) + " is over the cap of " +
+                 organisation + ", " + std::to_string(in_use) + " of " +
+                 std::to_string(cap.millicores));
   }
 }
 
-std::vector<DispatchSight> World::sights() const {
-  std::vector<DispatchSight> sights;
+std::vector<SchedulerStatus> World::sights() const {
+  std::vector<SchedulerStatus> sights;
   for (const auto& host : m_hosts) {
     sights.push_back(host->dispatcher->sight());
   }
--- a/packages/dispatch/tests/world.h
+++ b/packages/dispatch/tests/world.h
@@ -21,12 +21,13 @@
 
 /// The seeds that a schedule test runs: 1 to `usual`, or LAURELHALL_SEEDS seeds
 /// from LAURELHALL_FIRST_SEED on if these variables are set.
-std::vector<uint64_t> SeedsToPlay(uint64_t usual);
+std::vector<uint64_t> SeedsToRun(uint64_t usual);
 
 /// Faults of calls to workers, each as the probability per order.
-struct Weather {
-  double lost = 0;     ///< The order never arrives.
-  double unheard = 0;  ///< The order is carried out, but its answer is lost.
+struct CallFaults {
+  double lost = 0;  ///< The order never arrives.
+  double answer_lost =
+      0;               ///< The order is carried out, but its answer is lost.
   double late = 0;     ///< Not answered, but carried out seconds later.
   double refused = 0;  ///< A start is refused by an unhealthy worker.
 };
@@ -72,13 +73,13 @@
   void Resize(const scheduling::Resources& capacity, SteadyTime now);
   /// The capacity that a leader may still assume: for `grace` after a change,
   /// the greater of the old and the new one.
-  scheduling::Resources RoomAsKnown(SteadyTime now, Millis grace) const;
+  scheduling::Resources AssumedCapacity(SteadyTime now, Millis grace) const;
 
   /// Ends the process and all its runs.
   void Die();
 
   /// Restarts the process with the same id and without any earlier state.
-  void BeginAgain(SteadyTime now);
+  void RestartProcess(SteadyTime now);
   WallTime born() const { return m_born; }
   scheduling::WorkerTime Clock(SteadyTime now) const;
   bool has_heard_of_leader() const { return m_fence != 0; }
@@ -127,15 +128,15 @@
   void Crash(const std::string& worker, Millis back_in);
 
   /// Ends a worker's process and all its runs, and restarts it with the same id
-  /// after `down_for`. It announces itself `told_in` later.
-  void CrashAndBeginAgain(const std::string& worker,
-                          Millis down_for,
-                          Millis told_in = Millis(100));
+  /// after `down_for`. It announces itself `announced_in` later.
+  void CrashAndRestart(const std::string& worker,
+                       Millis down_for,
+                       Millis announced_in = Millis(100));
 
-  /// Changes a worker's capacity; it announces that after `told_in`.
+  /// Changes a worker's capacity; it announces that after `announced_in`.
   void Resize(const std::string& worker,
               const scheduling::Resources& capacity,
-              Millis told_in = Millis(100));
+              Millis announced_in = Millis(100));
 
   /// Drops a worker's announcements, or no longer does. The control hosts reach
   /// a mute worker all the same.
@@ -152,7 +153,7 @@
   void RestartControlHosts();
 
   /// The id of the newest live worker on a host; empty if there is none.
-  std::string LifeOn(const std::string& host) const;
+  std::string LiveWorkerOn(const std::string& host) const;
   void Submit(const std::string& id,
               std::vector<scheduling::StepSpec> steps,
               const std::string& service = "teklif");
@@ -175,17 +176,17 @@
 
   /// Makes the other control host the leader. The old one learns that after
   /// `unaware`.
-  void ChangeLeader(Millis unaware);
+  void ChangeLeader(Millis unaware_for);
 
   /// Cuts the leader off from its quorum. The other control host becomes leader
   /// after the shortest election timeout, and the old one learns that `unaware`
   /// later. Commits in flight may or may not be in the new leader's log.
-  void Elect(Millis unaware);
+  void ElectOtherLeader(Millis unaware_for);
 
   /// Freezes the leader for `time`, which must be longer than an election
   /// takes. It wakes assuming that it still leads, and learns of the new leader
   /// `unaware` after that.
-  void FreezeLeader(Millis time, Millis unaware);
+  void FreezeLeader(Millis time, Millis unaware_for);
 
   /// Freezes the leader for `time`, during which no other one is elected.
   void PauseLeader(Millis time);
@@ -217,7 +218,7 @@
   }
 
   /// Sets the duration of confirmations by a quorum.
-  void SlowWords(Millis time) { m_word = time; }
+  void SlowConfirmations(Millis time) { m_word = time; }
 
   /// Sets the range of the network delay of each direction of a call, which
   /// counts against the call's timeout.
@@ -227,7 +228,7 @@
   }
 
   /// Makes actions on hosts run one after the other, each for `time`.
-  void SlowActs(Millis time) { m_act_time = time; }
+  void SlowHostActions(Millis time) { m_act_time = time; }
 
   /// Sets the period at which the threads of control hosts run: answers and
   /// timers wait for the next round, which counts against a call's timeout.
@@ -246,7 +247,7 @@
   uint64_t CrashesOf(const std::string& task) const;
   /// The number of workers that went down, for any reason, while one task of a
   /// job ran there; the maximum over the job's tasks.
-  uint64_t MostDeathsUnder(const std::string& job) const;
+  uint64_t MaxWorkersLostUnder(const std::string& job) const;
   /// Calls to workers whose outcome the leaders counted as unknown.
   uint64_t unknown_calls() const;
   /// The timeout of the last order to start a run.
@@ -260,27 +261,27 @@
   /// Runs that were active on a host when it was taken down.
   size_t cut_off() const { return m_cut_off; }
   /// The sight() of each control host.
-  std::vector<DispatchSight> sights() const;
+  std::vector<SchedulerStatus> sights() const;
   std::mt19937_64& random() { return m_random; }
 
-  Weather weather;
+  CallFaults call_faults;
   double failing = 0;  ///< Probability that a run fails by its own fault.
   /// Tasks that crash each worker that runs them, with the time from the start
   /// to the crash. The worker's host gets a new incarnation after crash_pause.
   std::map<std::string, Millis> crashing;
   Millis crash_pause{3'000};
-  double reborn = 0;          ///< Probability that such a worker keeps its id.
-  bool has_same_ids = false;  ///< Workers keep their id over maintenance.
+  double same_id_share = 0;  ///< Probability that such a worker keeps its id.
+  bool keeps_worker_ids = false;  ///< Workers keep their id over maintenance.
   scheduling::Resources capacity{4'000, 16'000,
                                  0};  ///< Of workers added later.
   /// The run time as a multiple of the estimate; if not 1, runs report
   /// progress.
-  double stretch = 1;
+  double run_time_factor = 1;
   /// The time that a persistent task takes to start up.
-  Millis rise{0};
+  Millis startup_time{0};
   /// Only the control hosts are disturbed, so a lease that lapses is checked
   /// like an order that ends the run.
-  bool is_calm = false;
+  bool is_only_control_disturbed = false;
 
  private:
   class Timers;
@@ -296,8 +297,8 @@
   void After(Millis delay, std::function<void()> task);
   void Apply(const scheduling::Record& record);
   static void Wake(HostView& host);
-  void BeginToBeat(const AnnounceWorker& word);
-  void Beat(const std::string& id);
+  void SetAnnouncement(const AnnounceWorker& word);
+  void RepeatAnnouncement(const std::string& id);
   bool Chance(double share);
   Millis Delay();
   Reply AskHost(size_t host, Request request);
@@ -315,16 +316,16 @@
                   bool was_there);
   void CheckCap(const StartOrder& order);
   void CheckStop(const FakeWorker& worker, const StopOrder& order);
-  void CheckEnding(const scheduling::TaskId& task, const char* how);
+  void CheckEndAllowed(const scheduling::TaskId& task, const char* how);
   bool IsAway(const scheduling::TaskId& task) const;
   void NoteAtWork();
   scheduling::Resources CapInForce(const std::string& organisation) const;
-  void Violate(const std::string& text);
+  void AddViolation(const std::string& text);
   void CountStart(const std::string& task);
-  void Revive(const std::string& host,
-              const std::string& service = "teklif",
-              const std::string& rack = "");
-  void NoteDeaths(const FakeWorker& worker);
+  void AddWorkerIfNone(const std::string& host,
+                       const std::string& service = "teklif",
+                       const std::string& rack = "");
+  void CountLostWorker(const FakeWorker& worker);
   void CrashLater(const std::string& task, const std::string& worker);
 
   std::mt19937_64 m_random;
@@ -354,15 +355,15 @@
   /// The identity settings, each with the end of its validity; newest last.
   std::vector<std::pair<scheduling::IdentitySpec, SteadyTime>> m_identities;
   // The sequence of the newest announcement, by worker.
-  std::map<std::string, uint64_t> m_words_of;
+  std::map<std::string, uint64_t> m_announcement_sequences;
   /// The announcement that each worker repeats, by worker.
-  std::map<std::string, AnnounceWorker> m_told;
+  std::map<std::string, AnnounceWorker> m_repeated_announcements;
   std::set<std::string> m_mute;
-  uint64_t m_beats = 0;
+  uint64_t m_announcements_sent = 0;
   bool m_is_late = false;  // The order that is being carried out is late.
-  std::map<std::string, uint64_t> m_starts_of;     // By task.
-  std::map<std::string, uint64_t> m_crashes_of;    // By task.
-  std::map<std::string, uint64_t> m_deaths_under;  // By task.
+  std::map<std::string, uint64_t> m_starts_of;           // By task.
+  std::map<std::string, uint64_t> m_crashes_of;          // By task.
+  std::map<std::string, uint64_t> m_workers_lost_under;  // By task.
   std::map<std::string, uint64_t> m_starts_after_crashes;
   /// When each persistent task was last running, and the persistent tasks that
   /// an order has ended since.
