--- a/bench/dispatch_bench.cc
+++ b/bench/dispatch_bench.cc
@@ -288,7 +288,8 @@
   FakeLog log(timers);
   FakeWorkers port(timers);
   NoHosts hosts;
-  log.ledger.Apply(scheduling::ConfigurationAdopted{MakeConfiguration(scene)});
+  log.ledger.Apply(
+      scheduling::ConfigurationWithIdentitiesSet{MakeConfiguration(scene)});
   for (int i = 0; i < workers; ++i) {
     log.ledger.Apply(scheduling::WorkerSeen{MakeWorker(i, 0)});
   }
@@ -303,7 +304,7 @@
   };
   Dispatcher dispatcher(init);
   dispatcher.Attach(log);
-  dispatcher.BeginToLead(1);
+  dispatcher.OnLeadershipGained(1);
 
   std::mt19937_64 random(1);
   const double jobs_per_step = static_cast<double>(starts_per_second) /
@@ -335,7 +336,7 @@
       step.depends_on = {0};
       spec.steps.push_back(step);
       const auto pool = static_cast<int>(next_job++ % kPools);
-      scheduling::JobTaken taken;
+      scheduling::OrganisationJobAccepted taken;
       taken.job = {id, "queue-" + std::to_string(pool), PoolName(pool),
                    WallNow(), spec};
       if (scene.organisations > 0) {
@@ -358,7 +359,7 @@
       static_cast<double>(port.looks - first_looks) * 1000 /
           static_cast<double>(kMeasure.count()),
       spent * 1e6 / starts);
-  dispatcher.EndToLead();
+  dispatcher.OnLeadershipLost();
   timers.Advance(kStep);
 }
 
--- a/packages/control/src/client_loop.cc
+++ b/packages/control/src/client_loop.cc
@@ -343,7 +343,7 @@
   }
   const std::string address = m_finder.current();
   const bool is_heard = ChannelTo(address).HasHeardSince(now - kHeardLately);
-  if (!is_heard && !asked.request.is_read) {
+  if (!is_heard && !asked.request.is_query) {
     AskOnceHeard(address, std::move(asked));
     return;
   }
--- a/packages/control/src/host_leader.cc
+++ b/packages/control/src/host_leader.cc
@@ -18,14 +18,14 @@
 void HostLoop::FollowRole() {
   const bool leads = m_status.role == consensus::Role::kLeader;
   if (IsLeading() && (!leads || m_status.term != m_led_term)) {
-    EndToLead();
+    OnLeadershipLost();
   }
   if (leads && !IsLeading()) {
-    BeginToLead();
+    OnLeadershipGained();
   }
 }
 
-void HostLoop::BeginToLead() {
+void HostLoop::OnLeadershipGained() {
   PartLog("control")->info(
       "{} leads in term {}. Its last tick came {} ms late, its disk syncs for "
       "{} ms.",
@@ -40,7 +40,7 @@
   ++m_counters.elections;
 }
 
-void HostLoop::EndToLead() {
+void HostLoop::OnLeadershipLost() {
   PartLog("control")->info(
       "{} no longer leads in term {}; term {} is known. Its last tick came {} "
       "ms late, its disk syncs for {} ms, its oldest proposal waits for {} ms.",
@@ -50,7 +50,7 @@
   m_is_duty_running = false;
   m_is_schedule_asked = false;
   if (std::exchange(m_is_schedule_told, false)) {
-    m_parts.init.schedule->EndToLead();
+    m_parts.init.schedule->OnLeadershipLost();
   }
   m_approved.clear();
   m_repair_notes.clear();
@@ -103,7 +103,7 @@
     m_is_schedule_asked = false;
     if (is_confirmed) {
       m_is_schedule_told = true;
-      m_parts.init.schedule->BeginToLead(term);
+      m_parts.init.schedule->OnLeadershipGained(term);
     }
   });
 }
--- a/packages/control/src/host_loop_p.h
+++ b/packages/control/src/host_loop_p.h
@@ -135,8 +135,8 @@
 
   // host_leader.cc: what only a leader does.
   void FollowRole();
-  void BeginToLead();
-  void EndToLead();
+  void OnLeadershipGained();
+  void OnLeadershipLost();
   bool IsLeading() const { return m_leader_sync != nullptr; }
   void TickLeader();
   void CommitDue();
--- a/packages/control/tests/cluster_test.cc
+++ b/packages/control/tests/cluster_test.cc
@@ -484,8 +484,8 @@
 class SilentOnce final : public scheduling::LogService {
  public:
   void Attach(scheduling::ReplicatedLog&) override {}
-  void BeginToLead(uint64_t) override {}
-  void EndToLead() override {}
+  void OnLeadershipGained(uint64_t) override {}
+  void OnLeadershipLost() override {}
   void Handle(std::string, std::function<void(std::string)> done) override {
     if (m_heard++ > 0) {
       done("nothing was done");
--- a/packages/daemon/src/schedule_part.cc
+++ b/packages/daemon/src/schedule_part.cc
@@ -131,7 +131,7 @@
 void ControlSchedule::Stop() {
   m_metrics_server.reset();
   m_server.reset();
-  m_dispatcher->EndToLead();
+  m_dispatcher->OnLeadershipLost();
   std::promise<void> ended;
   m_threads.Post([this, &ended] {
     m_relay.reset();
--- a/packages/dispatch/include/laurelhall/dispatch/dispatcher.h
+++ b/packages/dispatch/include/laurelhall/dispatch/dispatcher.h
@@ -132,8 +132,8 @@
   ~Dispatcher() override;
 
   void Attach(scheduling::ReplicatedLog& log) override;
-  void BeginToLead(uint64_t term) override;
-  void EndToLead() override;
+  void OnLeadershipGained(uint64_t term) override;
+  void OnLeadershipLost() override;
   void Handle(std::string request,
               std::function<void(std::string)> done) override;
 
--- a/packages/dispatch/include/laurelhall/dispatch/request.h
+++ b/packages/dispatch/include/laurelhall/dispatch/request.h
@@ -151,31 +151,31 @@
 template <typename Archive>
 void Visit(Archive& archive, SubmitJob& value) {
   archive(value.host, value.path, value.id, value.spec);
-  archive.Later(value.key);
+  archive.TrailingFields(value.key);
 }
 
 template <typename Archive>
 void Visit(Archive& archive, GetJob& value) {
   archive(value.host, value.path, value.id);
-  archive.Later(value.key);
+  archive.TrailingFields(value.key);
 }
 
 template <typename Archive>
 void Visit(Archive& archive, CancelJob& value) {
   archive(value.host, value.path, value.id);
-  archive.Later(value.key);
+  archive.TrailingFields(value.key);
 }
 
 template <typename Archive>
 void Visit(Archive& archive, CountWaiting& value) {
   archive(value.host, value.path);
-  archive.Later(value.key);
+  archive.TrailingFields(value.key);
 }
 
 template <typename Archive>
 void Visit(Archive& archive, PutConfiguration& value) {
   archive(value.configuration);
-  archive.Later(value.configuration.identities);
+  archive.TrailingFields(value.configuration.identities);
 }
 
 template <typename Archive>
@@ -184,8 +184,8 @@
 template <typename Archive>
 void Visit(Archive& archive, AnnounceWorker& value) {
   archive(value.info);
-  archive.Later(value.sequence, value.born);
-  archive.Later(value.clock);
+  archive.TrailingFields(value.sequence, value.born);
+  archive.TrailingFields(value.clock);
 }
 
 // An element of a list can't have optional trailing fields (Later()), so each
--- a/packages/dispatch/src/crashes.cc
+++ b/packages/dispatch/src/crashes.cc
@@ -68,7 +68,7 @@
   RecordCrash(ledger, worker, LostRuns(ledger, worker),
               link.is_reached ? std::optional(LossTimeOf(link)) : std::nullopt,
               records);
-  records.emplace_back(scheduling::LifeEnded{worker.info.id, link.born});
+  records.emplace_back(scheduling::IncarnationEnded{worker.info.id, link.born});
 }
 
 // Replaces the link of a worker that has restarted. Its clock, its lease and
@@ -95,7 +95,7 @@
   next.number = link.number + 1;
   next.last_announced = Now();
   next.is_lapse_under_way = link.is_lapse_under_way;
-  next.is_unjudged = true;
+  next.is_restart_unassessed = true;
   if (link.is_reached) {
     next.previous_loss = LossTimeOf(link);
   }
@@ -123,8 +123,8 @@
                                const HoldReply& reply,
                                Records& records) {
   WorkerLink& link = m_links.at(worker.info.id);
-  const bool is_seen = std::exchange(link.is_unjudged, false);
-  if (!is_seen && !worker.is_unjudged) {
+  const bool is_seen = std::exchange(link.is_restart_unassessed, false);
+  if (!is_seen && !worker.is_restart_unassessed) {
     return;
   }
   std::vector<LostRun> lost = is_seen ? std::exchange(link.lapsed_runs, {})
@@ -149,11 +149,11 @@
   for (const scheduling::TaskId& id : worker.active) {
     const Job& job = *ledger.FindJob(id.job);
     const auto& active = job.tasks[job.IndexOf(id)].active;
-    const bool is_outlived =
+    const bool is_of_earlier_incarnation =
         std::any_of(active.begin(), active.end(), [&](const auto& run) {
-          return run.is_outlived && run.worker == worker.info.id;
+          return run.is_of_earlier_incarnation && run.worker == worker.info.id;
         });
-    if (is_outlived) {
+    if (is_of_earlier_incarnation) {
       runs.push_back({id});
     }
   }
@@ -200,14 +200,15 @@
   std::vector<LostRun> open;
   std::vector<CrashSuspect> suspects;
   for (const LostRun& run : runs) {
-    const bool is_at_work = run.seen_at_work >= scheduling::kSeenAtWork;
+    const bool is_at_work =
+        run.observed_run_time >= scheduling::kMinObservedRunTime;
     if (!run.may_have_started || is_planned || (may_have_left && is_at_work)) {
       suspects.push_back({run.task, Suspicion::kExcused});
     } else {
       open.push_back(run);
     }
   }
-  const auto judged = scheduling::JudgeCrash(open, scope);
+  const auto judged = scheduling::AssessCrash(open, scope);
   suspects.insert(suspects.end(), judged.begin(), judged.end());
   return suspects;
 }
@@ -221,7 +222,7 @@
   for (const RunningRun& running : reply.running) {
     const auto found = m_runs.find({running.task, running.run});
     if (found == m_runs.end() || found->second.is_proof_pending ||
-        found->second.SeenAtWork() < scheduling::kWorksWell) {
+        found->second.SeenAtWork() < scheduling::kProvenRunTime) {
       continue;
     }
     const Job* found_job = ledger.FindJob(running.task.job);
@@ -242,7 +243,7 @@
 std::vector<LostRun> Leadership::LostRuns(const Ledger& ledger,
                                           const Worker& worker) const {
   const WorkerLink& link = m_links.at(worker.info.id);
-  const SteadyTime lost_by = LossTimeOf(link).lost_by;
+  const SteadyTime lost_before = LossTimeOf(link).lost_before;
   std::vector<LostRun> runs = link.lapsed_runs;
   if (runs.empty() && !link.is_reached) {
     // They lapsed under an earlier leader, so nothing more is known of them
@@ -264,10 +265,11 @@
     LostRun& run = runs.emplace_back();
     run.task = key.task;
     run.may_have_started = may_have_started;
-    run.seen_at_work = std::max(track.SeenAtWork(), MinRunTime(link, track));
-    run.lived = is_own_start
-                    ? std::chrono::floor<Millis>(lost_by - track.begun_at)
-                    : Millis::max();
+    run.observed_run_time =
+        std::max(track.SeenAtWork(), MinRunTime(link, track));
+    run.max_time_since_start =
+        is_own_start ? std::chrono::floor<Millis>(lost_before - track.begun_at)
+                     : Millis::max();
     run.has_started = track.work_since != SteadyTime();
     const Job& job = *ledger.FindJob(key.task.job);
     run.is_persistent = job.spec.steps[key.task.step].is_persistent;
@@ -303,7 +305,7 @@
     if (host == worker.info.host) {
       return;
     }
-    const auto apart = other_loss.lost_by - own_loss.lost_by;
+    const auto apart = other_loss.lost_before - own_loss.lost_before;
     together += std::chrono::abs(apart) <= kSimultaneousLoss ? 1 : 0;
     if (other_rack == rack) {
       lost_hosts.emplace(host, other_loss);
@@ -329,7 +331,7 @@
     of_rack.push_back(other_loss);
   }
   if (!rack.empty() && of_rack.size() > 1 && is_rack_whole &&
-      scheduling::MayBeOneMoment(of_rack)) {
+      scheduling::MayBeSimultaneous(of_rack)) {
     return LossScope::kRack;
   }
   return together >= kMinOthersLostTogether ? LossScope::kSeveral
@@ -352,7 +354,7 @@
   ++m_counters.crashes;
   const LossScope scope = LossScopeOf(ledger, worker, loss);
   while (!m_lost_workers.empty() &&
-         Now() - m_lost_workers.front().loss.lost_by > kLossRetention) {
+         Now() - m_lost_workers.front().loss.lost_before > kLossRetention) {
     m_lost_workers.pop_front();
   }
   if (loss) {
@@ -383,18 +385,20 @@
     }
     workers += crash.worker;
     const size_t crashes = task.crashed.size() + 1;
-    const uint32_t blame = task.blame + scheduling::BlameOf(suspect.suspicion);
+    const uint32_t blame =
+        task.blame + scheduling::BlameScore(suspect.suspicion);
     const bool is_given_up =
         suspect.suspicion != Suspicion::kCleared &&
-        scheduling::IsGivenUp(crashes, blame, suspect.suspicion,
-                              job->spec.steps[suspect.task.step].is_persistent);
+        scheduling::ShouldGiveUp(
+            crashes, blame, suspect.suspicion,
+            job->spec.steps[suspect.task.step].is_persistent);
     m_counters.given_up += is_given_up ? 1 : 0;
     DecisionLog::Get().Write(
         DecisionLine("dispatch", is_given_up ? "give-up" : "suspect",
                      is_given_up ? LineClass::kDecision : LineClass::kTask)
             .With("job", job->id)
             .With("task", FormatTaskId(suspect.task))
-            .With("gives_up", job->is_standing() ? "task" : "job")
+            .With("gives_up", job->has_persistent_tasks() ? "task" : "job")
             .With("suspicion", SuspicionName(suspect.suspicion))
             .With("crashes", static_cast<uint64_t>(crashes))
             .With("workers_down", workers)
@@ -434,9 +438,10 @@
   const WorkerLink& link = m_links.at(worker.info.id);
   const bool is_healthy = !link.is_silent && link.lost_at == SteadyTime();
   const auto is_at_work = [&](const RunTrack& track) {
-    const bool has_lasted = track.work_since != SteadyTime() &&
-                            Now() - track.work_since >= scheduling::kSeenAtWork;
-    return track.SeenAtWork() >= scheduling::kSeenAtWork ||
+    const bool has_lasted =
+        track.work_since != SteadyTime() &&
+        Now() - track.work_since >= scheduling::kMinObservedRunTime;
+    return track.SeenAtWork() >= scheduling::kMinObservedRunTime ||
            (is_healthy && has_lasted);
   };
   const Job& job = *ledger.FindJob(id.job);
--- a/packages/dispatch/src/dispatcher.cc
+++ b/packages/dispatch/src/dispatcher.cc
@@ -113,7 +113,7 @@
     });
   }
 
-  void BeginToLead(uint64_t term) {
+  void OnLeadershipGained(uint64_t term) {
     DecisionLog::Get().Write(
         DecisionLine("dispatch", "leads").With("term", term));
     m_relays.Begin(term);
@@ -127,7 +127,7 @@
     PublishCounters();
   }
 
-  void EndToLead() {
+  void OnLeadershipLost() {
     if (m_leadership != nullptr) {
       DecisionLog::Get().Write(DecisionLine("dispatch", "leads-no-more")
                                    .With("term", m_leadership->term()));
@@ -361,7 +361,7 @@
   }
 
   void Run(SubmitJob& request, const ReplyDone& done) {
-    scheduling::JobTaken taken;
+    scheduling::OrganisationJobAccepted taken;
     Outcome outcome = Outcome::kOk;
     bool is_known = false;
     double promised_rate = 0;
@@ -489,7 +489,8 @@
       done(MakeReply(Outcome::kOk));
       return;
     }
-    Commit(scheduling::ConfigurationAdopted{std::move(request.configuration)},
+    Commit(scheduling::ConfigurationWithIdentitiesSet{std::move(
+               request.configuration)},
            done);
   }
 
@@ -749,9 +750,9 @@
       }
       done(reply);
     };
-    Commit(
-        scheduling::WorkerTold{std::move(info), request.sequence, request.born},
-        is_committed);
+    Commit(scheduling::WorkerAnnounced{std::move(info), request.sequence,
+                                       request.born},
+           is_committed);
   }
 
   // The notice doesn't say which incarnation sent it. With an earlier
@@ -764,7 +765,8 @@
       const scheduling::Worker* worker = ledger.FindWorker(request.id);
       if (worker != nullptr) {
         ended.born = worker->born;
-        may_be_late = worker->earlier_lives > 0 && !worker->info.is_draining;
+        may_be_late =
+            worker->earlier_incarnations > 0 && !worker->info.is_draining;
       }
     });
     DecisionLog::Get().Write(
@@ -860,7 +862,7 @@
   // after an answer.
   SteadyTime m_unanswered_since{};
   DispatchCounters m_counters;
-  scheduling::JobRates m_rates;  // Since this host began to lead.
+  scheduling::JobRateLimiter m_rates;  // Since this host began to lead.
 
   std::atomic<bool> m_is_leading{false};
   mutable std::mutex m_counters_mutex;  // Guards the two published copies.
@@ -881,12 +883,12 @@
   m_impl->Attach(log);
 }
 
-void Dispatcher::BeginToLead(uint64_t term) {
-  m_impl->Post([term](Impl& impl) { impl.BeginToLead(term); });
+void Dispatcher::OnLeadershipGained(uint64_t term) {
+  m_impl->Post([term](Impl& impl) { impl.OnLeadershipGained(term); });
 }
 
-void Dispatcher::EndToLead() {
-  m_impl->Post([](Impl& impl) { impl.EndToLead(); });
+void Dispatcher::OnLeadershipLost() {
+  m_impl->Post([](Impl& impl) { impl.OnLeadershipLost(); });
 }
 
 void Dispatcher::Handle(std::string request,
--- a/packages/dispatch/src/leadership_p.h
+++ b/packages/dispatch/src/leadership_p.h
@@ -141,14 +141,14 @@
   uint64_t number = 1;  ///< Counts the incarnations of this id in this term.
   /// The crash of the previous incarnation is still to be recorded, with the
   /// first list of this one.
-  bool is_unjudged = false;
+  bool is_restart_unassessed = false;
   /// When the previous incarnation was lost; none: it was never reached.
   std::optional<scheduling::LossTime> previous_loss;
   bool is_reached = false;          ///< A hold call was answered.
   bool is_lapse_under_way = false;  ///< WorkerLapsed is being committed.
   /// Its lease lapsed, and no hold call was answered since.
   bool is_lapsed = false;
-  bool is_gone_under_way = false;      ///< LifeEnded is being committed.
+  bool is_gone_under_way = false;      ///< IncarnationEnded is being committed.
   bool is_awaiting_first_list = true;  ///< Its first list is not committed yet.
   bool is_silent = false;              ///< The last hold call was not answered.
   /// A hold call is open, or the ends that it listed are being committed.
@@ -167,7 +167,7 @@
   /// When the first hold call since `last_contact` failed; zero: none did.
   SteadyTime lost_at{};
   /// Runs whose lease expired since the last list, or runs of the previous
-  /// incarnation while `is_unjudged` is set.
+  /// incarnation while `is_restart_unassessed` is set.
   std::vector<scheduling::LostRun> lapsed_runs;
   /// Newest report whose content is committed; none: nothing is known to be.
   std::optional<WorkerWord> last_report;
--- a/packages/dispatch/src/moves.cc
+++ b/packages/dispatch/src/moves.cc
@@ -281,11 +281,12 @@
       continue;
     }
     for (const auto& step : job.spec.steps) {
-      if (step.is_persistent && step.spread_limit > 0 && step.count > 0) {
+      if (step.is_persistent && step.max_tasks_per_worker > 0 &&
+          step.count > 0) {
         uint32_t& most = hosts[ledger.ServiceOf(job)];
         most = std::max(
-            most, kMaxHostsAway +
-                      (step.count + step.spread_limit - 1) / step.spread_limit);
+            most, kMaxHostsAway + (step.count + step.max_tasks_per_worker - 1) /
+                                      step.max_tasks_per_worker);
       }
     }
   }
--- a/packages/dispatch/src/orders.cc
+++ b/packages/dispatch/src/orders.cc
@@ -190,8 +190,9 @@
                                          const RunKey& key,
                                          RunTrack& track,
                                          const WorkerLink& link) {
-  const bool takes_room = scheduling::RoomOf(job.spec.steps[key.task.step]) !=
-                          scheduling::Resources();
+  const bool takes_room =
+      scheduling::ReservedResources(job.spec.steps[key.task.step]) !=
+      scheduling::Resources();
   if (track.is_listed || !takes_room || IsRoomHeard(link)) {
     return false;
   }
@@ -213,7 +214,7 @@
                                        const RunTrack& track) const {
   const Worker* worker = ledger.FindWorker(track.worker);
   const scheduling::Resources need =
-      scheduling::RoomOf(job.spec.steps[key.task.step]);
+      scheduling::ReservedResources(job.spec.steps[key.task.step]);
   return worker != nullptr && !track.is_listed &&
          need != scheduling::Resources() &&
          !scheduling::Fits(worker->used, worker->info.capacity);
@@ -561,7 +562,7 @@
     });
   }
   link.born = reply.born;
-  Commit({scheduling::WorkerReborn{worker, reply.born}},
+  Commit({scheduling::WorkerRestarted{worker, reply.born}},
          [this](CommitOutcome) { PlanSoon(); });
   return !is_new;
 }
@@ -592,7 +593,7 @@
     return;
   }
   RecordContact(link, reply.clock);
-  if (!link.is_unjudged) {
+  if (!link.is_restart_unassessed) {
     link.lapsed_runs.clear();  // The worker has not crashed.
   }
   link.last_listed = Now();
@@ -771,7 +772,8 @@
         continue;
       }
       RunTrack& track = m_runs[{id, active.run}];
-      if (track.start == StartStage::kUncertain && active.is_outlived) {
+      if (track.start == StartStage::kUncertain &&
+          active.is_of_earlier_incarnation) {
         // Started in an earlier incarnation, whose orders the fence of this one
         // rules out for good.
         track.worker = worker;
@@ -811,12 +813,12 @@
       continue;
     }
     const scheduling::StepSpec& step = job->spec.steps[running.task.step];
-    if (step.target_tail > Millis(0)) {
-      worst =
-          std::max(worst, static_cast<double>(running.figure) /
-                              static_cast<double>(step.target_tail.count()));
+    if (step.target_tail_latency > Millis(0)) {
+      worst = std::max(
+          worst, static_cast<double>(running.figure) /
+                     static_cast<double>(step.target_tail_latency.count()));
     }
-    if (step.is_filling) {
+    if (step.is_best_effort) {
       filling.push_back(&running);
     }
   }
--- a/packages/dispatch/src/stops.cc
+++ b/packages/dispatch/src/stops.cc
@@ -115,7 +115,7 @@
         link != m_links.end() &&
         link->second.last_listed - track.percent_since >=
             std::max<SteadyTime::duration>(kStallTimeout, 2 * step.estimate);
-    if (!is_seen || step.is_gang || step.is_filling) {
+    if (!is_seen || step.is_gang || step.is_best_effort) {
       continue;
     }
     link->second.doubtful_until = now + kDoubtfulAfterStall;
--- a/packages/dispatch/src/waves.cc
+++ b/packages/dispatch/src/waves.cc
@@ -292,8 +292,8 @@
                                                   kOffReturnPeriods);
     const bool is_lost = away > kLostAfterPeriods * m_init.bounds.maintenance;
     if (is_back || is_off_host_back || is_lost) {
-      records.emplace_back(
-          scheduling::WaveHostSet{wave.opened.wave, host, WaveStage::kDone});
+      records.emplace_back(scheduling::WaveHostStageSet{wave.opened.wave, host,
+                                                        WaveStage::kDone});
     }
     return;
   }
@@ -331,7 +331,8 @@
     return;
   }
   // Committed first, so that the next leader counts the host as down.
-  Commit({scheduling::WaveHostSet{wave.opened.wave, host, WaveStage::kOrdered}},
+  Commit({scheduling::WaveHostStageSet{wave.opened.wave, host,
+                                       WaveStage::kOrdered}},
          [this, number = wave.opened.wave,
           host](scheduling::CommitOutcome outcome) {
            if (outcome == scheduling::CommitOutcome::kCommitted) {
@@ -388,7 +389,7 @@
     EndLife(track.life_before, "its host is maintained");
   } else if (outcome == HostActOutcome::kRefused) {
     // The host no longer exists, so there is nothing to maintain.
-    Commit({scheduling::WaveHostSet{wave, host, WaveStage::kDone}},
+    Commit({scheduling::WaveHostStageSet{wave, host, WaveStage::kDone}},
            [this](scheduling::CommitOutcome) { PlanSoon(); });
   }
 }
--- a/packages/dispatch/tests/dispatcher_test.cc
+++ b/packages/dispatch/tests/dispatcher_test.cc
@@ -103,7 +103,7 @@
                   "Dispatcher, persistent tasks lapse, start again") {
   StepSpec step = Step(3);
   step.is_persistent = true;
-  step.spread_limit = 1;
+  step.max_tasks_per_worker = 1;
   world.Submit("a", {step});
   world.Advance(Millis(500));
   world.Cut("w1", true);
@@ -256,7 +256,7 @@
     world.AddWorkers(1);
     StepSpec step = Step(3);
     step.is_persistent = true;
-    step.spread_limit = 1;
+    step.max_tasks_per_worker = 1;
     step.may_miss = 1;
     world.Submit("a", {step});
     world.Advance(Millis(1'000));
@@ -288,7 +288,7 @@
                   "run again") {
   StepSpec step = Step(6);
   step.is_persistent = true;
-  step.spread_limit = 2;  // Each host runs two tasks.
+  step.max_tasks_per_worker = 2;  // Each host runs two tasks.
   step.may_miss = 1;
   world.Submit("a", {step});
   world.Advance(Millis(1'500));
@@ -325,7 +325,7 @@
   world.AddWorkers(16);
   StepSpec step = Step(4);
   step.is_persistent = true;
-  step.spread_limit = 1;
+  step.max_tasks_per_worker = 1;
   step.may_miss = 1;
   world.Submit("a", {step});
   world.Advance(Millis(1'000));
@@ -376,7 +376,7 @@
   world.Advance(Millis(1'000));
   StepSpec step = Step(3);
   step.is_persistent = true;
-  step.spread_limit = 1;
+  step.max_tasks_per_worker = 1;
   world.Submit("a", {step});
   world.SlowCommits(Millis(600));
   world.Advance(Millis(20));
@@ -465,7 +465,7 @@
   }
   StepSpec step = Step(3);
   step.is_persistent = true;
-  step.spread_limit = 1;
+  step.max_tasks_per_worker = 1;
   world.Submit("a", {step});
   world.Advance(Millis(8'000));
   REQUIRE(world.moved().size() == 2);
--- a/packages/dispatch/tests/incidents/culprits_in_a_rush_test.cc
+++ b/packages/dispatch/tests/incidents/culprits_in_a_rush_test.cc
@@ -49,7 +49,7 @@
     for (const char* id : {"watch", "audit"}) {
       scheduling::StepSpec step = Step(kPersistentTaskCount);
       step.is_persistent = true;
-      step.spread_limit = 1;
+      step.max_tasks_per_worker = 1;
       step.may_miss = 1;
       m_world.Submit(id, {step});
     }
--- a/packages/dispatch/tests/incidents/hosts_held_test.cc
+++ b/packages/dispatch/tests/incidents/hosts_held_test.cc
@@ -80,7 +80,7 @@
     "Moves, actions wait for each other, a persistent task starts") {
   scheduling::StepSpec step = Tasks(20);
   step.is_persistent = true;
-  step.spread_limit = 1;
+  step.max_tasks_per_worker = 1;
   world.Submit("p", {step}, "enerji");
   world.Advance(Millis(500));
   CHECK(world.ledger().FindJob("p")->active_runs == 20);
--- a/packages/dispatch/tests/incidents/standing_service_test.cc
+++ b/packages/dispatch/tests/incidents/standing_service_test.cc
@@ -23,7 +23,7 @@
     world.Advance(Millis(500));
     scheduling::StepSpec step = Step(4);
     step.is_persistent = true;
-    step.spread_limit = 1;
+    step.max_tasks_per_worker = 1;
     step.may_miss = 1;
     world.Submit("watch", {step});
     world.Submit("audit", {step});
--- a/packages/dispatch/tests/lease_test.cc
+++ b/packages/dispatch/tests/lease_test.cc
@@ -16,7 +16,7 @@
     m_world.AddWorkers(4);
     StepSpec step = Step(4);
     step.is_persistent = true;
-    step.spread_limit = 1;
+    step.max_tasks_per_worker = 1;
     step.may_miss = 1;
     m_world.Submit("lasts", {step});
     m_world.Advance(Millis(3'000));
--- a/packages/dispatch/tests/load_schedule.h
+++ b/packages/dispatch/tests/load_schedule.h
@@ -32,7 +32,7 @@
     for (const char* id : {"lasts-0", "lasts-1"}) {
       StepSpec step = Step(4);
       step.is_persistent = true;
-      step.spread_limit = 1;
+      step.max_tasks_per_worker = 1;
       step.may_miss = 1;
       m_world.Submit(id, {step});
     }
--- a/packages/dispatch/tests/remote_test.cc
+++ b/packages/dispatch/tests/remote_test.cc
@@ -19,7 +19,7 @@
     init.post = [](const std::function<void()>& task) { task(); };
     init.ask = [this](const scheduling::LeaderRequest& request, auto done) {
       ++request_count;
-      read_count += request.is_read ? 1 : 0;
+      read_count += request.is_query ? 1 : 0;
       if (answer) {
         done(scheduling::Encode(Reply(*answer)), false);
         return;
--- a/packages/dispatch/tests/world.cc
+++ b/packages/dispatch/tests/world.cc
@@ -390,7 +390,7 @@
                                  ->spec.steps[order.task.step];
           FakeWorker::Run run;
           run.run = order.run;
-          run.need = scheduling::RoomOf(spec);
+          run.need = scheduling::ReservedResources(spec);
           run.ends_at =
               m_world.Now() + std::chrono::duration_cast<Millis>(
                                   spec.estimate * m_world.run_time_factor);
@@ -829,7 +829,7 @@
 
 World::~World() {
   for (const auto& host : m_hosts) {
-    host->dispatcher->EndToLead();
+    host->dispatcher->OnLeadershipLost();
   }
   Advance(Millis(1));
 }
@@ -873,7 +873,7 @@
   info.host = host;
   info.rack = rack;
   info.capacity = capacity;
-  Apply(scheduling::WorkerTold{info, 0, WallTime(Millis(1))});
+  Apply(scheduling::WorkerAnnounced{info, 0, WallTime(Millis(1))});
   auto worker = std::make_unique<FakeWorker>(
       id, info.capacity, Millis(1'000 * static_cast<int>(m_workers.size())));
   worker->on_done = [this](const TaskId& task) { m_noted_done.insert(task); };
@@ -1073,7 +1073,7 @@
                       std::vector<scheduling::StepSpec> steps) {
   scheduling::JobSpec spec;
   spec.steps = std::move(steps);
-  Apply(scheduling::JobTaken{
+  Apply(scheduling::OrganisationJobAccepted{
       {id, "quotes", "teklif",
        WallTime(std::chrono::floor<Millis>(Now().time_since_epoch())), spec},
       organisation});
@@ -1147,10 +1147,10 @@
   next.is_behind = false;
   next.applied.Load(m_ledger.Save());
   old.is_behind = unaware_for > Millis(0);
-  next.dispatcher->BeginToLead(m_term);
+  next.dispatcher->OnLeadershipGained(m_term);
   After(unaware_for, [&old, old_term] {
     if (old.term == old_term) {
-      old.dispatcher->EndToLead();
+      old.dispatcher->OnLeadershipLost();
     }
   });
 }
@@ -1197,7 +1197,7 @@
 }
 
 void World::RestartControlHosts() {
-  m_hosts[m_leader]->dispatcher->EndToLead();
+  m_hosts[m_leader]->dispatcher->OnLeadershipLost();
   m_ledger.Load(m_ledger.Save());
   ChangeLeader(Millis(0));
 }
@@ -1345,7 +1345,7 @@
   CheckCap(order);
   const scheduling::Job& job = *m_ledger.FindJob(order.task.job);
   for (const uint32_t earlier : job.spec.steps[order.task.step].depends_on) {
-    if (job.step_left[earlier] > 0) {
+    if (job.tasks_left_by_step[earlier] > 0) {
       AddViolation(task + " is started before step " + std::to_string(earlier));
     }
   }
--- a/packages/scheduling/include/laurelhall/scheduling/codec.h
+++ b/packages/scheduling/include/laurelhall/scheduling/codec.h
@@ -37,7 +37,7 @@
   /// Writes fields at the end of a text that earlier versions did not write;
   /// see Decoder::Later().
   template <typename... Values>
-  void Later(Values&... values) {
+  void TrailingFields(Values&... values) {
     (Write(values), ...);
   }
 
@@ -119,7 +119,7 @@
   /// Reads fields at the end of a text. Leaves the values unchanged if the text
   /// ends before them.
   template <typename... Values>
-  void Later(Values&... values) {
+  void TrailingFields(Values&... values) {
     if (!is_at_end()) {
       (Read(values), ...);
     }
--- a/packages/scheduling/include/laurelhall/scheduling/crash.h
+++ b/packages/scheduling/include/laurelhall/scheduling/crash.h
@@ -16,9 +16,9 @@
   TaskId task;
   bool may_have_started = true;
   /// Run time that was observed. Zero: its worker never listed it.
-  Millis seen_at_work{0};
+  Millis observed_run_time{0};
   /// Upper bound of the time from its start to the loss.
-  Millis lived{Millis::max()};
+  Millis max_time_since_start{Millis::max()};
   bool has_started = false;  ///< Its worker confirmed the start.
   bool is_persistent = false;
   bool is_proven = false;  ///< See ActiveRun; also by an earlier leader.
@@ -26,15 +26,15 @@
 
 /// A task is given up after so many workers crashed while it ran, even if other
 /// tasks ran there too: each further start might cost another worker.
-constexpr size_t kMostCrashes = 5;
+constexpr size_t kMaxCrashesPerTask = 5;
 
 /// A run of a suspect that has been observed for this long no longer keeps
 /// other tasks off its worker.
-constexpr Millis kSeenAtWork{300};
+constexpr Millis kMinObservedRunTime{300};
 
 /// A task with a run that has been observed for this long does not crash the
 /// workers on which it starts.
-constexpr Millis kWorksWell{5'000};
+constexpr Millis kProvenRunTime{5'000};
 
 /// What was lost together with a worker.
 enum class LossScope : uint8_t {
@@ -49,32 +49,32 @@
 const char* LossScopeName(LossScope scope);
 
 /// Assesses each run that may have started on a crashed worker. Thread-safe.
-std::vector<CrashSuspect> JudgeCrash(const std::vector<LostRun>& runs,
-                                     LossScope scope);
+std::vector<CrashSuspect> AssessCrash(const std::vector<LostRun>& runs,
+                                      LossScope scope);
 
 /// The score that a crash adds to Task::blame. Thread-safe.
-uint32_t BlameOf(Suspicion suspicion);
+uint32_t BlameScore(Suspicion suspicion);
 
 /// Whether a task is to be given up. Thread-safe.
 ///
 /// @param crashes Number of workers that crashed while it ran.
-/// @param blame Sum of BlameOf() over these crashes.
+/// @param blame Sum of BlameScore() over these crashes.
 /// @param last Suspicion of the last crash.
 /// @param is_persistent A persistent task is given up by the number of crashes
 ///   only, because its users lose it for good.
-bool IsGivenUp(size_t crashes,
-               uint32_t blame,
-               Suspicion last,
-               bool is_persistent);
+bool ShouldGiveUp(size_t crashes,
+                  uint32_t blame,
+                  Suspicion last,
+                  bool is_persistent);
 
 /// The interval in which a worker was lost: after `alive_until` and before
-/// `lost_by`.
+/// `lost_before`.
 struct LossTime {
   SteadyTime alive_until{};
-  SteadyTime lost_by{};
+  SteadyTime lost_before{};
 };
 
 /// Whether all losses may have happened at the same time. Thread-safe.
-bool MayBeOneMoment(const std::vector<LossTime>& losses);
+bool MayBeSimultaneous(const std::vector<LossTime>& losses);
 
 }  // namespace laurelhall::scheduling
--- a/packages/scheduling/include/laurelhall/scheduling/graph.h
+++ b/packages/scheduling/include/laurelhall/scheduling/graph.h
@@ -44,15 +44,15 @@
   bool is_persistent = false;  ///< Runs until the job is cancelled.
   /// Best effort: runs on processor time that other tasks leave unused, and is
   /// not counted against a worker's processors.
-  bool is_filling = false;
+  bool is_best_effort = false;
   std::string required_label;
   /// Rack that holds the input data: tasks run faster there. Empty: any rack.
   std::string data_rack;
   /// Maximum number of tasks of this step on one worker. 0: no limit.
-  uint32_t spread_limit = 0;
+  uint32_t max_tasks_per_worker = 0;
   std::string image;  ///< Tasks of the same image behave alike.
   /// Upper bound on the tail latency of a serving task. 0: none.
-  Millis target_tail{0};
+  Millis target_tail_latency{0};
   /// Tasks of a persistent step that actions of the scheduler itself may have
   /// down at the same time. 0: no limit.
   uint32_t may_miss = 0;
@@ -85,8 +85,9 @@
 /// A service: a pool of hosts with one worker each.
 struct ServiceSpec {
   std::string name;
-  bool is_guarded = false;  ///< Its workers reject tasks that do not fit.
-  bool is_spare = false;    ///< Reserve pool: its hosts are powered off.
+  bool enforces_capacity =
+      false;              ///< Its workers reject tasks that do not fit.
+  bool is_spare = false;  ///< Reserve pool: its hosts are powered off.
 };
 
 /// An organisation that submits jobs, and its share of the workers.
--- a/packages/scheduling/include/laurelhall/scheduling/ledger.h
+++ b/packages/scheduling/include/laurelhall/scheduling/ledger.h
@@ -19,7 +19,8 @@
 struct ActiveRun {
   uint32_t run = 0;
   std::string worker;
-  bool is_outlived = false;  ///< Started on an earlier incarnation.
+  bool is_of_earlier_incarnation =
+      false;                 ///< Started on an earlier incarnation.
   bool is_proven = false;    ///< Active for too long to be a crash's cause.
   bool is_assessed = false;  ///< The crash of its worker is already counted.
 };
@@ -68,22 +69,22 @@
 
   /// Workers crashed, or may have, while some of its tasks ran: IsSuspect() may
   /// hold for these tasks.
-  bool has_crashes = false;
+  bool may_have_suspects = false;
   uint32_t tasks_left = 0;  ///< Number of tasks that are not done.
   uint32_t active_runs = 0;
   /// Number of tasks that are not done, by occurrence and step.
-  std::vector<uint32_t> step_left;
+  std::vector<uint32_t> tasks_left_by_step;
   /// Index of the first task of each step within an occurrence.
   std::vector<uint32_t> step_offset;
   uint32_t occurrence_size = 0;  ///< Number of tasks in an occurrence.
 
   bool is_over() const { return state >= JobState::kSucceeded; }
-  bool is_standing() const;  ///< Whether it has persistent tasks.
+  bool has_persistent_tasks() const;  ///< Whether it has persistent tasks.
   size_t IndexOf(const TaskId& task) const;
   TaskId IdOf(size_t index) const;
   const StepSpec& StepOf(size_t index) const;
   /// Whether all steps that a step depends on are done in its occurrence.
-  bool IsStepOpen(uint32_t occurrence, uint32_t step) const;
+  bool IsStepReady(uint32_t occurrence, uint32_t step) const;
   /// Whether the id belongs to a task of this job.
   bool Holds(const TaskId& task) const;
 };
@@ -95,7 +96,8 @@
   uint64_t sequence = 0;
   /// Start time of the current incarnation. Zero: not reported.
   WallTime born{};
-  uint32_t earlier_lives = 0;  ///< Known earlier incarnations under this id.
+  uint32_t earlier_incarnations =
+      0;  ///< Known earlier incarnations under this id.
   /// Resources of active runs; best-effort tasks count without processors.
   Resources used;
   std::set<TaskId> active;
@@ -106,7 +108,7 @@
   std::set<TaskId> lapsed;
   /// It has restarted, and the assessment of the runs of its previous
   /// incarnation is not committed yet.
-  bool is_unjudged = false;
+  bool is_restart_unassessed = false;
   uint32_t persistent_runs = 0;
   /// The part of `used.millicores` that persistent tasks take.
   int64_t persistent_millicores = 0;
@@ -223,13 +225,13 @@
   void ApplyRecord(const WorkerLapsed& record);
   void ApplyRecord(const WorkerGone& record);
   void ApplyRecord(const WaveOpened& record);
-  void ApplyRecord(const WaveHostSet& record);
+  void ApplyRecord(const WaveHostStageSet& record);
   void ApplyRecord(const WorkerCrashed& record);
-  void ApplyRecord(const WorkerTold& record);
-  void ApplyRecord(const WorkerReborn& record);
-  void ApplyRecord(const LifeEnded& record);
-  void ApplyRecord(const ConfigurationAdopted& record);
-  void ApplyRecord(const JobTaken& record);
+  void ApplyRecord(const WorkerAnnounced& record);
+  void ApplyRecord(const WorkerRestarted& record);
+  void ApplyRecord(const IncarnationEnded& record);
+  void ApplyRecord(const ConfigurationWithIdentitiesSet& record);
+  void ApplyRecord(const OrganisationJobAccepted& record);
   void ApplyRecord(const RunProven& record);
   void ApplyRecord(const WorkerLeft& record);
   void BeginWorkerIncarnation(const std::string& id,
@@ -284,6 +286,6 @@
 
 /// Resources that a run of the step takes from its worker's capacity. A
 /// best-effort task takes no processors.
-Resources RoomOf(const StepSpec& step);
+Resources ReservedResources(const StepSpec& step);
 
 }  // namespace laurelhall::scheduling
--- a/packages/scheduling/include/laurelhall/scheduling/log_service.h
+++ b/packages/scheduling/include/laurelhall/scheduling/log_service.h
@@ -49,7 +49,7 @@
 struct LeaderRequest {
   std::string body;  ///< Encoded.
   SteadyTime deadline{};
-  bool is_read = false;  ///< Changes no state on any host.
+  bool is_query = false;  ///< Changes no state on any host.
 };
 
 /// A service that runs on top of the replicated log on each control host.
@@ -64,10 +64,10 @@
 
   /// Called when this host has become leader in `term` and has applied an entry
   /// of that term.
-  virtual void BeginToLead(uint64_t term) = 0;
+  virtual void OnLeadershipGained(uint64_t term) = 0;
 
   /// Called when this host is no longer leader.
-  virtual void EndToLead() = 0;
+  virtual void OnLeadershipLost() = 0;
 
   /// Handles a request of another process. Request and reply are encoded.
   virtual void Handle(std::string request,
--- a/packages/scheduling/include/laurelhall/scheduling/organisation.h
+++ b/packages/scheduling/include/laurelhall/scheduling/organisation.h
@@ -56,7 +56,7 @@
 ///
 /// @remarks Not thread-safe. Its state is not persistent: every organisation
 ///   starts with a full bucket.
-class JobRates {
+class JobRateLimiter {
  public:
   /// Counts a job of an organisation with the guaranteed rate
   /// `jobs_per_second`.
--- a/packages/scheduling/include/laurelhall/scheduling/record.h
+++ b/packages/scheduling/include/laurelhall/scheduling/record.h
@@ -53,7 +53,7 @@
 };
 
 /// A worker was discovered, or its properties changed. Written by earlier
-/// versions; see WorkerTold.
+/// versions; see WorkerAnnounced.
 struct WorkerSeen {
   WorkerInfo info;
 };
@@ -65,7 +65,7 @@
 };
 
 /// A worker has ended, whichever incarnation. Written by earlier versions; see
-/// LifeEnded.
+/// IncarnationEnded.
 struct WorkerGone {
   std::string worker;
 };
@@ -84,7 +84,7 @@
 enum class WaveStage : uint8_t { kWaiting, kOrdered, kDone, kCount };
 
 /// Advances the stage of a host in a wave; a stage never goes back.
-struct WaveHostSet {
+struct WaveHostStageSet {
   uint64_t wave = 0;
   std::string host;
   WaveStage stage = WaveStage::kWaiting;
@@ -122,7 +122,7 @@
 /// Like WorkerSeen, with the start time of the worker's incarnation and the
 /// sequence number of its announcement: when announcements arrive out of order,
 /// the one with the highest number stays in effect.
-struct WorkerTold {
+struct WorkerAnnounced {
   WorkerInfo info;
   uint64_t sequence = 0;
   WallTime born{};  ///< Start time of the incarnation; zero: not reported.
@@ -131,25 +131,25 @@
 /// A worker has restarted under the same id. Runs that were started on the
 /// previous incarnation are over, unless the new one lists them: it may have
 /// received a delayed start order.
-struct WorkerReborn {
+struct WorkerRestarted {
   std::string worker;
   WallTime born{};
 };
 
 /// Like WorkerGone, for one incarnation: a later one under the same id is not
 /// affected.
-struct LifeEnded {
+struct IncarnationEnded {
   std::string worker;
   WallTime born{};  ///< Start time of the incarnation; zero: not known.
 };
 
 /// Like ConfigurationSet, including `Configuration::identities`.
-struct ConfigurationAdopted {
+struct ConfigurationWithIdentitiesSet {
   Configuration configuration;
 };
 
 /// Like JobAccepted, with the organisation that submitted the job.
-struct JobTaken {
+struct OrganisationJobAccepted {
   JobAccepted job;
   std::string organisation;  ///< Empty: submitted to an open queue.
   bool is_excess = false;    ///< Above the organisation's guaranteed job rate.
@@ -162,8 +162,8 @@
   uint32_t run = 0;
 };
 
-/// Like LifeEnded, for a worker that announced its shutdown: its runs are not
-/// counted as possible causes of a crash.
+/// Like IncarnationEnded, for a worker that announced its shutdown: its runs
+/// are not counted as possible causes of a crash.
 struct WorkerLeft {
   std::string worker;
   WallTime born{};  ///< Start time of the incarnation; zero: not known.
@@ -180,13 +180,13 @@
                             WorkerLapsed,
                             WorkerGone,
                             WaveOpened,
-                            WaveHostSet,
+                            WaveHostStageSet,
                             WorkerCrashed,
-                            WorkerTold,
-                            WorkerReborn,
-                            LifeEnded,
-                            ConfigurationAdopted,
-                            JobTaken,
+                            WorkerAnnounced,
+                            WorkerRestarted,
+                            IncarnationEnded,
+                            ConfigurationWithIdentitiesSet,
+                            OrganisationJobAccepted,
                             RunProven,
                             WorkerLeft>;
 
@@ -207,9 +207,9 @@
 void Visit(Archive& archive, StepSpec& value) {
   archive(value.count, value.need, value.estimate, value.depends_on,
           value.is_gang, value.is_same_rack, value.is_checkpointing,
-          value.is_speculative, value.is_persistent, value.is_filling,
-          value.required_label, value.data_rack, value.spread_limit,
-          value.image, value.target_tail, value.may_miss);
+          value.is_speculative, value.is_persistent, value.is_best_effort,
+          value.required_label, value.data_rack, value.max_tasks_per_worker,
+          value.image, value.target_tail_latency, value.may_miss);
 }
 
 template <typename Archive>
@@ -226,7 +226,7 @@
 
 template <typename Archive>
 void Visit(Archive& archive, ServiceSpec& value) {
-  archive(value.name, value.is_guarded, value.is_spare);
+  archive(value.name, value.enforces_capacity, value.is_spare);
 }
 
 template <typename Archive>
@@ -308,22 +308,22 @@
 }
 
 template <typename Archive>
-void Visit(Archive& archive, WaveHostSet& value) {
+void Visit(Archive& archive, WaveHostStageSet& value) {
   archive(value.wave, value.host, value.stage);
 }
 
 template <typename Archive>
-void Visit(Archive& archive, WorkerTold& value) {
+void Visit(Archive& archive, WorkerAnnounced& value) {
   archive(value.info, value.sequence, value.born);
 }
 
 template <typename Archive>
-void Visit(Archive& archive, WorkerReborn& value) {
+void Visit(Archive& archive, WorkerRestarted& value) {
   archive(value.worker, value.born);
 }
 
 template <typename Archive>
-void Visit(Archive& archive, LifeEnded& value) {
+void Visit(Archive& archive, IncarnationEnded& value) {
   archive(value.worker, value.born);
 }
 
@@ -338,7 +338,7 @@
 }
 
 template <typename Archive>
-void Visit(Archive& archive, ConfigurationAdopted& value) {
+void Visit(Archive& archive, ConfigurationWithIdentitiesSet& value) {
   archive(value.configuration, value.configuration.identities);
 }
 
@@ -353,7 +353,7 @@
 }
 
 template <typename Archive>
-void Visit(Archive& archive, JobTaken& value) {
+void Visit(Archive& archive, OrganisationJobAccepted& value) {
   archive(value.job, value.organisation, value.is_excess);
 }
 
--- a/packages/scheduling/src/crash.cc
+++ b/packages/scheduling/src/crash.cc
@@ -19,7 +19,7 @@
     kScopeNames{"worker", "several", "rack", "unknown"};
 
 bool IsNew(const LostRun& run) {
-  return run.seen_at_work < kSeenAtWork;
+  return run.observed_run_time < kMinObservedRunTime;
 }
 
 }  // namespace
@@ -28,8 +28,8 @@
   return kScopeNames.at(static_cast<size_t>(scope));
 }
 
-std::vector<CrashSuspect> JudgeCrash(const std::vector<LostRun>& runs,
-                                     LossScope scope) {
+std::vector<CrashSuspect> AssessCrash(const std::vector<LostRun>& runs,
+                                      LossScope scope) {
   std::vector<LostRun> started;
   std::copy_if(runs.begin(), runs.end(), std::back_inserter(started),
                [](const LostRun& run) { return run.may_have_started; });
@@ -49,7 +49,7 @@
   std::vector<CrashSuspect> suspects;
   for (const LostRun& run : started) {
     Suspicion suspicion = Suspicion::kBystander;
-    if (run.is_proven || run.seen_at_work >= kWorksWell) {
+    if (run.is_proven || run.observed_run_time >= kProvenRunTime) {
       suspicion = Suspicion::kCleared;
     } else if (run.is_persistent && !IsNew(run) && has_new_run) {
       // A persistent run is present at the start of every other run: the new
@@ -58,7 +58,7 @@
     } else if (!run.has_started) {
       suspicion = Suspicion::kBystander;
     } else if (scope == LossScope::kWorker && is_only_one_new && IsNew(run) &&
-               run.lived < kPromptCrashTime) {
+               run.max_time_since_start < kPromptCrashTime) {
       suspicion = Suspicion::kPrompt;
     } else if (scope == LossScope::kWorker && started.size() == 1 &&
                IsNew(run)) {
@@ -71,25 +71,25 @@
   return suspects;
 }
 
-uint32_t BlameOf(Suspicion suspicion) {
+uint32_t BlameScore(Suspicion suspicion) {
   return kBlameScores.at(static_cast<size_t>(suspicion));
 }
 
-bool IsGivenUp(size_t crashes,
-               uint32_t blame,
-               Suspicion last,
-               bool is_persistent) {
+bool ShouldGiveUp(size_t crashes,
+                  uint32_t blame,
+                  Suspicion last,
+                  bool is_persistent) {
   const bool is_blamed_enough =
       !is_persistent && blame >= kMinBlameToGiveUp && last >= Suspicion::kSole;
-  return crashes >= kMostCrashes || is_blamed_enough;
+  return crashes >= kMaxCrashesPerTask || is_blamed_enough;
 }
 
-bool MayBeOneMoment(const std::vector<LossTime>& losses) {
+bool MayBeSimultaneous(const std::vector<LossTime>& losses) {
   SteadyTime earliest = SteadyTime::min();
   SteadyTime latest = SteadyTime::max();
   for (const LossTime& loss : losses) {
     earliest = std::max(earliest, loss.alive_until);
-    latest = std::min(latest, loss.lost_by);
+    latest = std::min(latest, loss.lost_before);
   }
   return earliest <= latest;
 }
--- a/packages/scheduling/src/ledger.cc
+++ b/packages/scheduling/src/ledger.cc
@@ -19,8 +19,8 @@
 // Number of crashes that make a task a suspect, even without any blame.
 constexpr size_t kCrashesToSuspect = 2;
 // Number of crashes from which on a task runs alone: it is given up after
-// kMostCrashes, also without blame, so that another crash beside other tasks
-// might be one too many.
+// kMaxCrashesPerTask, also without blame, so that another crash beside other
+// tasks might be one too many.
 constexpr size_t kCrashesToIsolate = 3;
 
 // Computes step_offset and occurrence_size from the steps of a job.
@@ -35,9 +35,9 @@
 
 }  // namespace
 
-Resources RoomOf(const StepSpec& step) {
+Resources ReservedResources(const StepSpec& step) {
   Resources reserved = step.need;
-  if (step.is_filling) {
+  if (step.is_best_effort) {
     reserved.millicores = 0;
   }
   return reserved;
@@ -62,11 +62,11 @@
   return spec.steps[IdOf(index).step];
 }
 
-bool Job::IsStepOpen(uint32_t occurrence, uint32_t step) const {
+bool Job::IsStepReady(uint32_t occurrence, uint32_t step) const {
   const size_t base = static_cast<size_t>(occurrence) * spec.steps.size();
   const auto& needed = spec.steps[step].depends_on;
   return std::all_of(needed.begin(), needed.end(), [&](uint32_t earlier) {
-    return step_left[base + earlier] == 0;
+    return tasks_left_by_step[base + earlier] == 0;
   });
 }
 
@@ -76,7 +76,7 @@
          task.index < spec.steps[task.step].count;
 }
 
-bool Job::is_standing() const {
+bool Job::has_persistent_tasks() const {
   return std::any_of(spec.steps.begin(), spec.steps.end(),
                      [](const StepSpec& step) { return step.is_persistent; });
 }
@@ -91,7 +91,7 @@
 
 bool Task::IsHeldBack() const {
   return unresolved_lapses > 0 &&
-         crashed.size() + unresolved_lapses >= kMostCrashes;
+         crashed.size() + unresolved_lapses >= kMaxCrashesPerTask;
 }
 
 bool WaveState::is_done() const {
@@ -183,7 +183,7 @@
   SetConfigurationIfNewer(record.configuration);
 }
 
-void Ledger::ApplyRecord(const ConfigurationAdopted& record) {
+void Ledger::ApplyRecord(const ConfigurationWithIdentitiesSet& record) {
   SetConfigurationIfNewer(record.configuration);
 }
 
@@ -206,7 +206,7 @@
   AddJob(record);
 }
 
-void Ledger::ApplyRecord(const JobTaken& record) {
+void Ledger::ApplyRecord(const OrganisationJobAccepted& record) {
   if (Job* job = AddJob(record.job)) {
     job->organisation = record.organisation;
     job->is_excess = record.is_excess;
@@ -230,7 +230,7 @@
   for (uint32_t occurrence = 0; occurrence < job.spec.occurrences;
        ++occurrence) {
     for (const StepSpec& step : job.spec.steps) {
-      job.step_left.push_back(step.count);
+      job.tasks_left_by_step.push_back(step.count);
     }
   }
   if (job.tasks_left == 0) {
@@ -292,7 +292,7 @@
 void Ledger::ReserveResources(Worker& worker, const Job& job, size_t index) {
   const TaskId id = job.IdOf(index);
   const StepSpec& step = job.spec.steps[id.step];
-  const Resources reserved = RoomOf(step);
+  const Resources reserved = ReservedResources(step);
   worker.active.insert(id);
   if (job.tasks[index].IsSuspect()) {
     worker.suspects.insert(id);
@@ -310,7 +310,7 @@
 void Ledger::ReleaseResources(Worker& worker,
                               const TaskId& task,
                               const StepSpec& step) {
-  const Resources reserved = RoomOf(step);
+  const Resources reserved = ReservedResources(step);
   worker.active.erase(task);
   worker.suspects.erase(task);
   Subtract(worker.used, reserved);
@@ -377,7 +377,7 @@
     if (!job.tasks[member].is_done) {
       job.tasks[member].is_done = true;
       --job.tasks_left;
-      --job.step_left[id.occurrence * job.spec.steps.size() + id.step];
+      --job.tasks_left_by_step[id.occurrence * job.spec.steps.size() + id.step];
     }
   }
   if (job.tasks_left == 0) {
@@ -407,7 +407,7 @@
 void Ledger::GiveUpTask(Job& job, size_t index) {
   job.tasks[index].is_given_up = true;
   bool has_persistent_left = false;
-  for (size_t other = 0; job.is_standing() && other < job.tasks.size();
+  for (size_t other = 0; job.has_persistent_tasks() && other < job.tasks.size();
        ++other) {
     has_persistent_left =
         has_persistent_left ||
@@ -460,7 +460,7 @@
   worker.info.is_draining = worker.info.is_draining || was_draining;
 }
 
-void Ledger::ApplyRecord(const WorkerTold& record) {
+void Ledger::ApplyRecord(const WorkerAnnounced& record) {
   const std::string& id = record.info.id;
   if (IsGone(id, record.born) || IsOutdated(id, record.born, record.sequence)) {
     return;
@@ -468,14 +468,14 @@
   Worker& worker = m_workers[id];
   if (m_ended_workers.erase(id) > 0) {
     std::erase(m_ended_order, id);
-    ++worker.earlier_lives;
+    ++worker.earlier_incarnations;
   }
   BeginWorkerIncarnation(id, worker, record.born);
   ApplyRecord(WorkerSeen{record.info});
   worker.sequence = record.sequence;
 }
 
-void Ledger::ApplyRecord(const WorkerReborn& record) {
+void Ledger::ApplyRecord(const WorkerRestarted& record) {
   const auto worker = m_workers.find(record.worker);
   if (worker != m_workers.end()) {
     BeginWorkerIncarnation(record.worker, worker->second, record.born);
@@ -490,14 +490,15 @@
   }
   if (worker.born != WallTime()) {
     RecordWorkerChange(id);
-    ++worker.earlier_lives;
-    worker.is_unjudged = true;
+    ++worker.earlier_incarnations;
+    worker.is_restart_unassessed = true;
     worker.sequence = 0;
     worker.info.is_draining = false;
     for (const TaskId& task : worker.active) {
       Job& job = m_jobs.at(task.job);
       for (ActiveRun& run : job.tasks[job.IndexOf(task)].active) {
-        run.is_outlived = run.is_outlived || run.worker == id;
+        run.is_of_earlier_incarnation =
+            run.is_of_earlier_incarnation || run.worker == id;
       }
     }
   }
@@ -561,7 +562,7 @@
         const bool is_open = !run.is_proven && !run.is_assessed &&
                              found->second.lapsed.insert(id).second;
         job.tasks[index].unresolved_lapses += is_open ? 1 : 0;
-        job.has_crashes = job.has_crashes || is_open;
+        job.may_have_suspects = job.may_have_suspects || is_open;
         EndRun(job, index, {id, run.run, run.worker, RunEnd::kLapsed, {}});
       }
     }
@@ -571,10 +572,10 @@
 void Ledger::ApplyRecord(const WorkerGone& record) {
   const Worker* known = FindWorker(record.worker);
   const WallTime born = known == nullptr ? WallTime() : known->born;
-  ApplyRecord(LifeEnded{record.worker, born});
+  ApplyRecord(IncarnationEnded{record.worker, born});
 }
 
-void Ledger::ApplyRecord(const LifeEnded& record) {
+void Ledger::ApplyRecord(const IncarnationEnded& record) {
   EndWorkerIncarnation(record.worker, record.born, true);
 }
 
@@ -604,7 +605,8 @@
 }
 
 // Counts a crash, without blame, for each run on an ended worker that was not
-// assessed: kMostCrashes limits the starts of a task even without evidence.
+// assessed: kMaxCrashesPerTask limits the starts of a task even without
+// evidence.
 void Ledger::CountUnassessedRuns(const std::string& id, const Worker& worker) {
   std::vector<TaskId> unassessed(worker.lapsed.begin(), worker.lapsed.end());
   for (const TaskId& task : worker.active) {
@@ -645,7 +647,7 @@
   if (worker == m_workers.end()) {
     return;
   }
-  worker->second.is_unjudged = false;
+  worker->second.is_restart_unassessed = false;
   for (const auto& [id, suspicion] : record.suspects) {
     const auto found = m_jobs.find(id.job);
     const bool ran_there = worker->second.active.contains(id) ||
@@ -676,12 +678,12 @@
     task.blame = 0;
     return;
   }
-  job.has_crashes = true;
+  job.may_have_suspects = true;
   task.crashed.push_back(worker);
-  task.blame += BlameOf(suspicion);
+  task.blame += BlameScore(suspicion);
   if (!job.is_over() && !task.is_done &&
-      IsGivenUp(task.crashed.size(), task.blame, suspicion,
-                job.StepOf(index).is_persistent)) {
+      ShouldGiveUp(task.crashed.size(), task.blame, suspicion,
+                   job.StepOf(index).is_persistent)) {
     GiveUpTask(job, index);
   }
 }
@@ -722,7 +724,7 @@
   }
 }
 
-void Ledger::ApplyRecord(const WaveHostSet& record) {
+void Ledger::ApplyRecord(const WaveHostStageSet& record) {
   const auto found = m_waves.find(record.wave);
   if (found == m_waves.end() || !found->second.hosts.contains(record.host)) {
     return;
@@ -748,14 +750,14 @@
 void Visit(Archive& archive, Job& value) {
   archive(value.id, value.queue, value.service, value.accepted_at, value.spec,
           value.state, value.tasks, value.tasks_left, value.active_runs,
-          value.step_left);
+          value.tasks_left_by_step);
 }
 
 namespace {
 
 struct SavedWave {
   WaveOpened opened;
-  std::vector<WaveHostSet> hosts;
+  std::vector<WaveHostStageSet> hosts;
 };
 
 template <typename Archive>
@@ -788,14 +790,14 @@
   std::string worker;
   uint64_t sequence = 0;
   WallTime born{};
-  uint32_t earlier_lives = 0;
-  bool is_unjudged = false;
+  uint32_t earlier_incarnations = 0;
+  bool is_restart_unassessed = false;
 };
 
 template <typename Archive>
 void Visit(Archive& archive, SavedIncarnation& value) {
-  archive(value.worker, value.sequence, value.born, value.earlier_lives,
-          value.is_unjudged);
+  archive(value.worker, value.sequence, value.born, value.earlier_incarnations,
+          value.is_restart_unassessed);
 }
 
 struct SavedSupersededRun {
@@ -851,10 +853,10 @@
 void Visit(Archive& archive, SavedLedger& value) {
   archive(value.configuration, value.jobs, value.workers, value.waves,
           value.ended_workers);
-  archive.Later(value.crashes, value.lapses, value.incarnations,
-                value.superseded_runs, value.ended_start_times);
-  archive.Later(value.configuration.identities, value.owners);
-  archive.Later(value.given_up, value.run_flags);
+  archive.TrailingFields(value.crashes, value.lapses, value.incarnations,
+                         value.superseded_runs, value.ended_start_times);
+  archive.TrailingFields(value.configuration.identities, value.owners);
+  archive.TrailingFields(value.given_up, value.run_flags);
 }
 
 }  // namespace
@@ -899,7 +901,7 @@
         saved.given_up.push_back(job.IdOf(index));
       }
       for (const ActiveRun& run : task.active) {
-        if (run.is_outlived) {
+        if (run.is_of_earlier_incarnation) {
           saved.superseded_runs.push_back({job.IdOf(index), run.run});
         }
         if (run.is_proven || run.is_assessed) {
@@ -912,7 +914,8 @@
   for (const WorkerInfo& info : saved.workers) {
     const Worker& worker = m_workers.at(info.id);
     saved.incarnations.push_back({info.id, worker.sequence, worker.born,
-                                  worker.earlier_lives, worker.is_unjudged});
+                                  worker.earlier_incarnations,
+                                  worker.is_restart_unassessed});
     const std::set<TaskId>& lapsed = worker.lapsed;
     if (!lapsed.empty()) {
       saved.lapses.push_back({info.id, {lapsed.begin(), lapsed.end()}});
@@ -945,7 +948,7 @@
   for (SavedCrashes& crashes : saved.crashes) {
     Job& job = m_jobs.at(crashes.task.job);
     Task& task = job.tasks[job.IndexOf(crashes.task)];
-    job.has_crashes = true;
+    job.may_have_suspects = true;
     task.crashed = std::move(crashes.workers);
     task.blame = crashes.blame;
   }
@@ -957,13 +960,14 @@
     Worker& worker = m_workers[incarnation.worker];
     worker.sequence = incarnation.sequence;
     worker.born = incarnation.born;
-    worker.earlier_lives = incarnation.earlier_lives;
-    worker.is_unjudged = incarnation.is_unjudged;
+    worker.earlier_incarnations = incarnation.earlier_incarnations;
+    worker.is_restart_unassessed = incarnation.is_restart_unassessed;
   }
   for (const SavedSupersededRun& superseded : saved.superseded_runs) {
     Job& job = m_jobs.at(superseded.task.job);
     for (ActiveRun& run : job.tasks[job.IndexOf(superseded.task)].active) {
-      run.is_outlived = run.is_outlived || run.run == superseded.run;
+      run.is_of_earlier_incarnation =
+          run.is_of_earlier_incarnation || run.run == superseded.run;
     }
   }
   for (const SavedRunFlags& flags : saved.run_flags) {
@@ -981,7 +985,7 @@
     for (const TaskId& id : lapse.tasks) {
       const auto job = m_jobs.find(id.job);
       if (job != m_jobs.end()) {
-        job->second.has_crashes = true;
+        job->second.may_have_suspects = true;
         ++job->second.tasks[job->second.IndexOf(id)].unresolved_lapses;
       }
     }
@@ -996,7 +1000,7 @@
   }
   for (SavedWave& wave : saved.waves) {
     ApplyRecord(wave.opened);
-    for (const WaveHostSet& host : wave.hosts) {
+    for (const WaveHostStageSet& host : wave.hosts) {
       ApplyRecord(host);
     }
   }
--- a/packages/scheduling/src/organisation.cc
+++ b/packages/scheduling/src/organisation.cc
@@ -56,9 +56,9 @@
                        need.accelerators);
 }
 
-bool JobRates::IsExcess(const std::string& organisation,
-                        double jobs_per_second,
-                        SteadyTime now) {
+bool JobRateLimiter::IsExcess(const std::string& organisation,
+                              double jobs_per_second,
+                              SteadyTime now) {
   // At least one job: a rate below one per second must admit jobs too.
   const double max_tokens =
       std::max(1.0, jobs_per_second * kBurstWindow.count());
--- a/packages/scheduling/src/planner.cc
+++ b/packages/scheduling/src/planner.cc
@@ -85,7 +85,7 @@
 
 // The estimated work of one task of a step.
 double CoreMilliseconds(const StepSpec& step) {
-  return static_cast<double>(RoomOf(step).millicores) / 1000 *
+  return static_cast<double>(ReservedResources(step).millicores) / 1000 *
          static_cast<double>(step.estimate.count());
 }
 
@@ -101,8 +101,8 @@
     }
     const size_t base = occurrence * job.spec.steps.size();
     for (uint32_t step = 0; step < job.spec.steps.size(); ++step) {
-      const bool is_open =
-          job.step_left[base + step] > 0 && job.IsStepOpen(occurrence, step);
+      const bool is_open = job.tasks_left_by_step[base + step] > 0 &&
+                           job.IsStepReady(occurrence, step);
       if (is_open && !visit(occurrence, step)) {
         return;
       }
@@ -127,7 +127,7 @@
       before = std::max(before, chain[earlier]);
     }
     const bool is_left =
-        job.step_left[occurrence * job.spec.steps.size() + step] > 0;
+        job.tasks_left_by_step[occurrence * job.spec.steps.size() + step] > 0;
     chain[step] =
         before + (is_left ? job.spec.steps[step].estimate : Millis(0));
     longest = std::max(longest, chain[step]);
@@ -171,7 +171,8 @@
   /// Counts the workers that may be given work, and those of them with room for
   /// a task.
   void Count(const Candidate& candidate, StartDiagnosis& diagnosis) {
-    const Resources room = RoomOf(candidate.job->spec.steps[candidate.step]);
+    const Resources room =
+        ReservedResources(candidate.job->spec.steps[candidate.step]);
     const auto places =
         m_places_of.find(m_input.ledger.ServiceOf(*candidate.job));
     if (places == m_places_of.end()) {
@@ -192,11 +193,11 @@
     if (places == m_places_of.end()) {
       return;
     }
-    const Resources need = RoomOf(step);
+    const Resources need = ReservedResources(step);
     // A suspect may get a cordoned worker, which takes no other tasks: that
     // these found no room tells nothing about it.
     const bool is_full =
-        !candidate.job->has_crashes && IsKnownTooLarge(candidate, need);
+        !candidate.job->may_have_suspects && IsKnownTooLarge(candidate, need);
     if (is_full || IsOverCap(*candidate.job, step)) {
       return;
     }
@@ -212,7 +213,7 @@
       if (place == nullptr && IsSuspect(candidate, index)) {
         continue;  // Other tasks of the step may not need an empty worker.
       }
-      if (place == nullptr && !step.is_filling) {
+      if (place == nullptr && !step.is_best_effort) {
         RememberTooLarge(candidate, step, index, need);
         return;  // The other tasks of the step would find no place either.
       }
@@ -283,7 +284,7 @@
     const Task& task = TaskOf(candidate, index);
     const bool is_unrestricted =
         step.required_label.empty() && step.data_rack.empty() &&
-        step.spread_limit == 0 && !IsLastAttempt(candidate, task) &&
+        step.max_tasks_per_worker == 0 && !IsLastAttempt(candidate, task) &&
         !task.IsSuspect();
     if (is_unrestricted) {
       m_too_large[m_input.ledger.ServiceOf(*candidate.job)].push_back(need);
@@ -539,7 +540,7 @@
                             !StatusOf(place).is_quarantined);
       const bool may_become_empty =
           is_free && !cordoned.contains(place.worker->info.id) &&
-          Fits(RoomOf(step), place.worker->info.capacity) &&
+          Fits(ReservedResources(step), place.worker->info.capacity) &&
           StatusOf(place).is_usable;
       const auto cost = [&](const Place& of) {
         return std::tuple(!was_cordoned(of), of.worker->persistent_runs,
@@ -599,7 +600,7 @@
         m_input.now - candidate.waiting_since <
             kDataRackWaitFactor * step.estimate;
     const bool packs_tasks = m_planner.m_mechanisms.Has(Mechanism::kGathering);
-    const Resources room = RoomOf(step);
+    const Resources room = ReservedResources(step);
     const bool is_last_attempt = IsLastAttempt(candidate, task);
     if (is_last_attempt) {
       RemoveUnusable(places);
@@ -636,7 +637,7 @@
         continue;
       }
       const uint32_t here = CountTasksOfStep(candidate, first, place);
-      if (step.spread_limit > 0 && here >= step.spread_limit) {
+      if (step.max_tasks_per_worker > 0 && here >= step.max_tasks_per_worker) {
         continue;
       }
       const WorkerStatus& status = StatusOf(place);
@@ -666,7 +667,7 @@
     const TaskId id{candidate.job->id, candidate.occurrence, candidate.step,
                     index};
     RunStarted start{id, NextRun(candidate, step, id), place.worker->info.id};
-    Subtract(place.room, RoomOf(step));
+    Subtract(place.room, ReservedResources(step));
     place.has_persistent = place.has_persistent || step.is_persistent;
     place.has_suspect = place.has_suspect || IsSuspect(candidate, index);
     if (is_reserved) {
@@ -696,10 +697,10 @@
   void Reserve(const RunStarted& start, const StepSpec& step) {
     m_planner.m_reserved_worker[start.task] = start.worker;
     ++m_planner.m_reserved_tasks[start.task.job];
-    Add(m_planner.m_reserved_room[start.worker], RoomOf(step));
+    Add(m_planner.m_reserved_room[start.worker], ReservedResources(step));
     const Job& job = *m_input.ledger.FindJob(start.task.job);
     m_planner.m_reservations[{start.task, start.run}] = {
-        RoomOf(step), step.need, job.organisation};
+        ReservedResources(step), step.need, job.organisation};
     if (!job.organisation.empty()) {
       Add(m_planner.m_reserved_of_cap[job.organisation], step.need);
     }
--- a/packages/scheduling/tests/crash_test.cc
+++ b/packages/scheduling/tests/crash_test.cc
@@ -17,7 +17,7 @@
 std::map<std::string, Suspicion> Assess(const std::vector<LostRun>& runs,
                                         LossScope scope = LossScope::kWorker) {
   std::map<std::string, Suspicion> assessed;
-  for (const CrashSuspect& suspect : JudgeCrash(runs, scope)) {
+  for (const CrashSuspect& suspect : AssessCrash(runs, scope)) {
     assessed[suspect.task.job] = suspect.suspicion;
   }
   return assessed;
@@ -122,25 +122,25 @@
 }
 
 TEST_CASE("Crash, repeated, task is given up by number and blame") {
-  const uint32_t suspect = BlameOf(Suspicion::kSuspect);
-  const uint32_t sole = BlameOf(Suspicion::kSole);
-  const uint32_t prompt = BlameOf(Suspicion::kPrompt);
-  CHECK_FALSE(IsGivenUp(1, prompt, Suspicion::kPrompt, false));
-  CHECK(IsGivenUp(2, suspect + prompt, Suspicion::kPrompt, false));
-  CHECK_FALSE(IsGivenUp(2, suspect + sole, Suspicion::kSole, false));
-  CHECK(IsGivenUp(2, sole + sole, Suspicion::kSole, false));
-  CHECK_FALSE(IsGivenUp(4, 4 * suspect, Suspicion::kSuspect, false));
-  CHECK(IsGivenUp(5, 0, Suspicion::kBystander, false));
-  CHECK_FALSE(IsGivenUp(4, 4 * prompt, Suspicion::kPrompt, true));
-  CHECK(IsGivenUp(5, 5 * prompt, Suspicion::kPrompt, true));
+  const uint32_t suspect = BlameScore(Suspicion::kSuspect);
+  const uint32_t sole = BlameScore(Suspicion::kSole);
+  const uint32_t prompt = BlameScore(Suspicion::kPrompt);
+  CHECK_FALSE(ShouldGiveUp(1, prompt, Suspicion::kPrompt, false));
+  CHECK(ShouldGiveUp(2, suspect + prompt, Suspicion::kPrompt, false));
+  CHECK_FALSE(ShouldGiveUp(2, suspect + sole, Suspicion::kSole, false));
+  CHECK(ShouldGiveUp(2, sole + sole, Suspicion::kSole, false));
+  CHECK_FALSE(ShouldGiveUp(4, 4 * suspect, Suspicion::kSuspect, false));
+  CHECK(ShouldGiveUp(5, 0, Suspicion::kBystander, false));
+  CHECK_FALSE(ShouldGiveUp(4, 4 * prompt, Suspicion::kPrompt, true));
+  CHECK(ShouldGiveUp(5, 5 * prompt, Suspicion::kPrompt, true));
 }
 
 TEST_CASE("Crash, losses with overlapping intervals, may be simultaneous") {
   const auto at = [](int from, int to) {
     return LossTime{SteadyTime(Millis(from)), SteadyTime(Millis(to))};
   };
-  CHECK(MayBeOneMoment({at(0, 100), at(50, 200), at(90, 95)}));
-  CHECK_FALSE(MayBeOneMoment({at(0, 100), at(50, 200), at(101, 120)}));
+  CHECK(MayBeSimultaneous({at(0, 100), at(50, 200), at(90, 95)}));
+  CHECK_FALSE(MayBeSimultaneous({at(0, 100), at(50, 200), at(101, 120)}));
 }
 
 constexpr Resources kCapacity{4'000, 16'000, 0};
@@ -278,7 +278,7 @@
                   "Ledger, worker ends without assessment, its runs count") {
   ledger.Apply(RunStarted{TaskOfJob("a"), 1, "w1"});
   ledger.Apply(WorkerCrashed{"w1", {}});
-  ledger.Apply(LifeEnded{"w1", {}});
+  ledger.Apply(IncarnationEnded{"w1", {}});
   CHECK(TaskOf("a").crashed == std::vector<std::string>{"w1"});
   CHECK(TaskOf("a").blame == 0);
 }
@@ -288,7 +288,7 @@
                   "its runs count once") {
   ledger.Apply(RunStarted{TaskOfJob("a"), 1, "w1"});
   ledger.Apply(WorkerLapsed{"w1"});
-  ledger.Apply(LifeEnded{"w1", {}});
+  ledger.Apply(IncarnationEnded{"w1", {}});
   CHECK(TaskOf("a").crashed.size() == 1);
   CHECK(TaskOf("a").unresolved_lapses == 0);
 }
@@ -299,7 +299,7 @@
   Crash("a", 1, "w1", Suspicion::kSuspect);
   ledger.Apply(RunStarted{TaskOfJob("b"), 1, "w2"});
   ledger.Apply(WorkerCrashed{"w2", {{TaskOfJob("b"), Suspicion::kExcused}}});
-  ledger.Apply(LifeEnded{"w2", {}});
+  ledger.Apply(IncarnationEnded{"w2", {}});
   CHECK(TaskOf("a").crashed.size() == 1);
   CHECK(TaskOf("b").crashed.empty());
 }
@@ -322,7 +322,7 @@
   Ledger loaded;
   loaded.Load(ledger.Save());
   CHECK(loaded.Save() == ledger.Save());
-  loaded.Apply(LifeEnded{"w2", {}});
+  loaded.Apply(IncarnationEnded{"w2", {}});
   CHECK(loaded.FindJob("a")->tasks[0].crashed.empty());
 }
 
--- a/packages/scheduling/tests/ledger_test.cc
+++ b/packages/scheduling/tests/ledger_test.cc
@@ -132,10 +132,10 @@
 TEST_CASE_FIXTURE(LedgerFixture,
                   "Ledger, step with a dependency, opens when that is done") {
   Accept({Step(1), Step(1, {0})});
-  CHECK_FALSE(job().IsStepOpen(0, 1));
+  CHECK_FALSE(job().IsStepReady(0, 1));
   Start(0, 0, 1, "w1");
   End(0, 0, 1, "w1", RunEnd::kDone);
-  CHECK(job().IsStepOpen(0, 1));
+  CHECK(job().IsStepReady(0, 1));
 }
 
 TEST_CASE_FIXTURE(LedgerFixture,
@@ -159,7 +159,7 @@
 TEST_CASE_FIXTURE(LedgerFixture,
                   "Ledger, best-effort task, uses memory and no processors") {
   StepSpec best_effort = Step(1);
-  best_effort.is_filling = true;
+  best_effort.is_best_effort = true;
   Accept({best_effort});
   Start(0, 0, 1, "w1");
   CHECK(ledger.FindWorker("w1")->used == Resources{0, 500, 0});
@@ -217,7 +217,7 @@
   Start(1, 1, 1, "w2");
   End(0, 0, 1, "w1", RunEnd::kDone, "state");
   ledger.Apply(WaveOpened{7, {"h1", "h2"}, Millis(20'000), 1, WallTime()});
-  ledger.Apply(WaveHostSet{7, "h1", WaveStage::kOrdered});
+  ledger.Apply(WaveHostStageSet{7, "h1", WaveStage::kOrdered});
   ledger.Apply(WorkerGone{"w9"});
   Ledger loaded;
   loaded.Load(ledger.Save());
@@ -277,7 +277,7 @@
   spec.steps.emplace_back().count = 3;
   const std::string text =
       EncodeRecords({JobAccepted{kJob, "quotes", "teklif", WallTime(), spec},
-                     WaveHostSet{7, "h1", WaveStage::kDone}});
+                     WaveHostStageSet{7, "h1", WaveStage::kDone}});
   CHECK(DecodeRecords(text).size() == 2);
   for (size_t size = 0; size < text.size(); ++size) {
     CHECK_THROWS_AS(DecodeRecords(text.substr(0, size)), CodecError);
--- a/packages/scheduling/tests/organisation_test.cc
+++ b/packages/scheduling/tests/organisation_test.cc
@@ -56,7 +56,7 @@
 }
 
 TEST_CASE("JobRates, more jobs than guaranteed, the rest is excess") {
-  JobRates rates;
+  JobRateLimiter rates;
   SteadyTime now{};
   int excess = 0;
   for (int second = 0; second < 20; ++second, now += Seconds(1)) {
@@ -72,7 +72,7 @@
 }
 
 TEST_CASE("JobRates, rate below one per second, first job is no excess") {
-  JobRates rates;
+  JobRateLimiter rates;
   CHECK_FALSE(rates.IsExcess("a", 0.1, SteadyTime()));
   CHECK(rates.IsExcess("a", 0.1, SteadyTime() + Seconds(1)));
   CHECK_FALSE(rates.IsExcess("a", 0.1, SteadyTime() + Seconds(11)));
@@ -81,7 +81,7 @@
 class OrganisationJobFixture : public KeyRingFixture {
  protected:
   OrganisationJobFixture() {
-    ledger.Apply(ConfigurationAdopted{configuration});
+    ledger.Apply(ConfigurationWithIdentitiesSet{configuration});
     for (const char* id : {"w1", "w2"}) {
       WorkerInfo info;
       info.id = id;
@@ -92,7 +92,8 @@
     JobSpec spec;
     spec.steps.emplace_back().count = 6;
     spec.steps.back().need = {1'000, 100, 0};
-    ledger.Apply(JobTaken{{"j", "quotes", "teklif", WallTime(), spec}, "a"});
+    ledger.Apply(OrganisationJobAccepted{
+        {"j", "quotes", "teklif", WallTime(), spec}, "a"});
   }
 
   Ledger ledger;
@@ -127,8 +128,9 @@
   JobSpec spec;
   spec.steps.emplace_back().count = 1;
   const std::string text = EncodeRecords(
-      {ConfigurationAdopted{configuration},
-       JobTaken{{"j", "quotes", "teklif", WallTime(), spec}, "b", true}});
+      {ConfigurationWithIdentitiesSet{configuration},
+       OrganisationJobAccepted{
+           {"j", "quotes", "teklif", WallTime(), spec}, "b", true}});
   for (const Record& record : DecodeRecords(text)) {
     decoded.Apply(record);
   }
--- a/packages/scheduling/tests/planner_test.cc
+++ b/packages/scheduling/tests/planner_test.cc
@@ -129,7 +129,7 @@
     "Planner, spread limit and uncommitted starts, keeps the limit") {
   AddWorker("w1");
   StepSpec step = Step(2);
-  step.spread_limit = 2;
+  step.max_tasks_per_worker = 2;
   step.count = 4;
   Accept("j", step);
   CHECK(Plan().size() == 2);
@@ -204,7 +204,7 @@
   for (const char* id : {"a", "b"}) {
     StepSpec step = Step(2);
     step.is_persistent = true;
-    step.spread_limit = 1;
+    step.max_tasks_per_worker = 1;
     Accept(id, step);
     Commit(Plan());
   }
@@ -268,7 +268,7 @@
   for (const char* id : {"a", "b"}) {
     StepSpec step = Step(2);
     step.is_persistent = true;
-    step.spread_limit = 1;
+    step.max_tasks_per_worker = 1;
     Accept(id, step);
   }
   std::set<std::string> used;
@@ -553,7 +553,7 @@
     configuration.identities.emplace();
     configuration.identities->organisations = {
         {"capped", {"1"}, 5, {millicores, 0, 0}}, {"free", {"2"}, 5, {}}};
-    ledger.Apply(ConfigurationAdopted{configuration});
+    ledger.Apply(ConfigurationWithIdentitiesSet{configuration});
   }
 
   void AcceptFor(const std::string& organisation,
@@ -562,7 +562,7 @@
                  bool is_excess = false) {
     JobSpec spec;
     spec.steps = {step};
-    ledger.Apply(JobTaken{
+    ledger.Apply(OrganisationJobAccepted{
         {id, "quotes", "teklif", WallTime(), spec}, organisation, is_excess});
     first_seen_at[id] = now;
   }
