--- a/packages/dispatch/src/crashes.cc
+++ b/packages/dispatch/src/crashes.cc
@@ -56,7 +56,7 @@
                            Records& records,
                            const std::string& new_life) {
   WorkerLink& link = m_links.at(worker.info.id);
-  link.is_gone_under_way = true;
+  link.is_removal_under_way = true;
   DecisionLine line("dispatch", "worker-gone");
   line.With("worker", worker.info.id).With("why", why);
   if (!new_life.empty()) {
@@ -75,10 +75,10 @@
 // the ends acknowledged to it belong to one incarnation. Orders to the new one
 // have a higher fence, so that no order meant for the previous incarnation is
 // carried out after the first of them.
-void Leadership::BeginLife(const Ledger& ledger,
-                           const std::string& worker,
-                           WorkerLink& link,
-                           WallTime born) {
+void Leadership::BeginIncarnation(const Ledger& ledger,
+                                  const std::string& worker,
+                                  WorkerLink& link,
+                                  WallTime born) {
   const Worker* known = ledger.FindWorker(worker);
   DecisionLog::Get().Write(
       DecisionLine("dispatch", "worker-reborn")
@@ -106,9 +106,9 @@
     if (track.worker == worker) {
       track.start = StartStage::kSettled;
       track.settled_at = Now();
-      track.may_be_on_its_way = false;
-      track.is_stop_under_way = false;
-      track.is_stop_taken = false;
+      track.has_unanswered_start = false;
+      track.is_stop_in_flight = false;
+      track.is_stop_acknowledged = false;
     }
   }
   m_init.workers->Forget(link.address);
@@ -118,10 +118,10 @@
 // Runs of the previous incarnation that the new one does not list were lost
 // with it. Their crash is recorded once, with the first list of the new
 // incarnation.
-void Leadership::BlameForBirth(const Ledger& ledger,
-                               const Worker& worker,
-                               const HoldReply& reply,
-                               Records& records) {
+void Leadership::RecordPreviousCrash(const Ledger& ledger,
+                                     const Worker& worker,
+                                     const HoldReply& reply,
+                                     Records& records) {
   WorkerLink& link = m_links.at(worker.info.id);
   const bool is_seen = std::exchange(link.is_restart_unassessed, false);
   if (!is_seen && !worker.is_restart_unassessed) {
@@ -167,7 +167,8 @@
 // the worker was found lost.
 bool Leadership::IsPlannedShutdown(const Worker& worker) const {
   const SteadyTime lost_at = m_links.at(worker.info.id).lost_at;
-  const auto is_ended_by = [&](const WorkerLife& life, SteadyTime acted_at) {
+  const auto is_ended_by = [&](const WorkerIncarnation& life,
+                               SteadyTime acted_at) {
     return acted_at != SteadyTime() && life.IsSame(worker) &&
            (lost_at == SteadyTime() || lost_at >= acted_at);
   };
@@ -216,9 +217,9 @@
 // Records that listed runs have worked for long, so that the next leader knows
 // it too. Only persistent runs, which run beside others all day, and runs of
 // tasks with crashes need it.
-void Leadership::ProveRuns(const Ledger& ledger,
-                           const HoldReply& reply,
-                           Records& records) {
+void Leadership::AddProvenRuns(const Ledger& ledger,
+                               const HoldReply& reply,
+                               Records& records) {
   for (const RunningRun& running : reply.running) {
     const auto found = m_runs.find({running.task, running.run});
     if (found == m_runs.end() || found->second.is_proof_pending ||
@@ -260,7 +261,7 @@
       return;
     }
     const bool may_have_started =
-        track.start != StartStage::kRetry || track.may_be_on_its_way;
+        track.start != StartStage::kRetry || track.has_unanswered_start;
     const bool is_own_start = track.begun_at != SteadyTime();
     LostRun& run = runs.emplace_back();
     run.task = key.task;
@@ -316,7 +317,7 @@
   }
   for (const auto& [id, other] : ledger.workers()) {
     const WorkerLink& other_link = m_links.at(id);
-    if (other_link.is_silent && !other_link.is_gone_under_way) {
+    if (other_link.is_silent && !other_link.is_removal_under_way) {
       add(other.info.rack, other.info.host, LossTimeOf(other_link));
     }
   }
--- a/packages/dispatch/src/dispatcher.cc
+++ b/packages/dispatch/src/dispatcher.cc
@@ -169,7 +169,7 @@
     if (m_leadership != nullptr) {
       // Kept alive during the calls, which may end the leadership.
       const auto leadership = m_leadership;
-      m_relays.Tick(leadership->OwnDelay());
+      m_relays.Tick(leadership->LeaderDelay());
       leadership->Tick();
       PublishCounters();
     } else {
@@ -669,7 +669,7 @@
     }
     Reply reply = MakeReply(Outcome::kOk);
     reply.document = scheduling::Encode(
-        ForwardAnnouncementsReply{m_leadership->heard_epoch()});
+        ForwardAnnouncementsReply{m_leadership->report_epoch()});
     done(reply);
   }
 
@@ -719,11 +719,11 @@
       return;
     }
     if (!is_outdated) {
-      m_leadership->Announced(info.id);
+      m_leadership->OnAnnounced(info.id);
     }
-    const WorkerWord word{request.born, request.clock};
+    const ReportStamp word{request.born, request.clock};
     if (is_known && !is_outdated) {
-      m_leadership->Heard(info.id, word);
+      m_leadership->OnReportCommitted(info.id, word);
     }
     if (is_known || is_outdated) {
       done(MakeReply(Outcome::kOk));
@@ -739,14 +739,14 @@
             .With("millicores", info.capacity.millicores)
             .With("sequence", request.sequence)
             .With("born_ms", request.born.time_since_epoch().count()));
-    m_leadership->HeardNews(info.id, word);
+    m_leadership->OnReportPending(info.id, word);
     const auto is_committed = [weak = weak_from_this(), id = info.id, word,
                                done, term = m_leadership->term()](
                                   const Reply& reply) {
       const auto self = weak.lock();
       if (reply.outcome == Outcome::kOk && self != nullptr &&
           self->m_leadership != nullptr && self->m_leadership->term() == term) {
-        self->m_leadership->Heard(id, word);
+        self->m_leadership->OnReportCommitted(id, word);
       }
       done(reply);
     };
--- a/packages/dispatch/src/leadership.cc
+++ b/packages/dispatch/src/leadership.cc
@@ -43,7 +43,7 @@
 // announcement: ten announcements at their usual rate.
 constexpr Millis kSilenceTimeout{15'000};
 constexpr Millis kForgetPeriod{5'000};
-// A report sent before m_rooms_since counts as current for this time: two
+// A report sent before m_reports_since counts as current for this time: two
 // announcements at their slowest rate.
 constexpr Millis kMaxEarlierReportAge{3'000};
 // During a longer pause of the leader's thread, an announcement of each worker
@@ -66,7 +66,7 @@
       m_log(log),
       m_term(term),
       m_begun_at(init.timers->Now()),
-      m_rooms_since(m_begun_at),
+      m_reports_since(m_begun_at),
       m_counters(counters),
       m_leader_lease(init.bounds.leader_lease),
       m_planner(init.mechanisms),
@@ -92,7 +92,7 @@
   if (is_confirmed) {
     m_leader_lease.Renew(asked_at);
   }
-  while (!m_waiting_acts.empty() && IsSureToLead()) {
+  while (!m_waiting_acts.empty() && HoldsLeaderLease()) {
     const auto act = std::move(m_waiting_acts.front());
     m_waiting_acts.pop_front();
     act();
@@ -201,7 +201,7 @@
   m_last_plan = Now();
   std::vector<RunStarted> starts;
   m_log.Read([&](const Ledger& ledger) {
-    FollowWorkers(ledger);
+    SyncWorkers(ledger);
     SyncJobs(ledger);
     Plan(ledger, starts);
   });
@@ -237,7 +237,7 @@
   }
   Records records;
   m_log.Read([&](const Ledger& ledger) {
-    FollowWorkers(ledger);
+    SyncWorkers(ledger);
     SyncJobs(ledger);
     if (Now() >= m_next_run_sync) {
       m_next_run_sync = Now() + kRunSyncPeriod;
@@ -263,14 +263,15 @@
   PlanSoon();
 }
 
-void Leadership::Announced(const std::string& worker) {
+void Leadership::OnAnnounced(const std::string& worker) {
   const auto link = m_links.find(worker);
   if (link != m_links.end()) {
     link->second.last_announced = Now();
   }
 }
 
-void Leadership::Heard(const std::string& worker, const WorkerWord& report) {
+void Leadership::OnReportCommitted(const std::string& worker,
+                                   const ReportStamp& report) {
   const auto [known, is_first] = m_reports.try_emplace(worker, report);
   if (!is_first && !report.IsNewerThan(known->second)) {
     return;
@@ -282,8 +283,8 @@
   }
 }
 
-void Leadership::HeardNews(const std::string& worker,
-                           const WorkerWord& report) {
+void Leadership::OnReportPending(const std::string& worker,
+                                 const ReportStamp& report) {
   const auto link = m_links.find(worker);
   if (link != m_links.end() && link->second.last_report &&
       report.IsNewerThan(*link->second.last_report)) {
@@ -292,7 +293,7 @@
   }
 }
 
-bool Leadership::IsReportOf(const WorkerLink& link, const WorkerWord& report) {
+bool Leadership::IsReportOf(const WorkerLink& link, const ReportStamp& report) {
   return report.born == WallTime() || link.born == WallTime() ||
          report.born == link.born;
 }
@@ -306,11 +307,11 @@
 // gave up waiting.
 void Leadership::DiscardReports() {
   ++m_long_pauses;
-  m_rooms_since = Now();
+  m_reports_since = Now();
   for (auto& [id, link] : m_links) {
     link.last_report.reset();
     if (link.clock.is_known()) {
-      link.clock_at_begin = link.clock.Estimate(m_rooms_since);
+      link.clock_at_reports_since = link.clock.Estimate(m_reports_since);
     }
   }
   m_reports.clear();
@@ -323,22 +324,22 @@
 // The age of a report is measured by the worker's clock, so that a report which
 // was read or delivered late counts from when it was sent. A report without a
 // clock counts as just sent.
-bool Leadership::IsRoomHeard(const WorkerLink& link) const {
+bool Leadership::IsCapacityCurrent(const WorkerLink& link) const {
   if (m_init.mutations.is_capacity_age_ignored) {
     return true;
   }
   if (!link.last_report || WasThreadPaused()) {
     return false;
   }
-  const WorkerWord& report = *link.last_report;
+  const ReportStamp& report = *link.last_report;
   if (report.clock == scheduling::WorkerTime(0) ||
-      report.clock >= link.clock_at_begin) {
+      report.clock >= link.clock_at_reports_since) {
     return true;
   }
   return link.clock.Estimate(Now()) - report.clock < kMaxEarlierReportAge;
 }
 
-void Leadership::FollowWorkers(const Ledger& ledger) {
+void Leadership::SyncWorkers(const Ledger& ledger) {
   if (m_workers_revision == ledger.workers_version()) {
     return;
   }
@@ -391,7 +392,7 @@
     link.born = worker->born;
   } else if (worker->born > link.born &&
              !m_init.mutations.is_incarnation_ignored) {
-    BeginLife(ledger, id, link, worker->born);
+    BeginIncarnation(ledger, id, link, worker->born);
   }
   link.address = {id, worker->info.address, worker->info.availability_zone};
   ApplyReport(id, link);
@@ -437,11 +438,11 @@
 
 void Leadership::SyncJobs(const Ledger& ledger) {
   for (const std::string& id : ledger.open_jobs()) {
-    if (m_seen_at.contains(id)) {
+    if (m_job_seen_at.contains(id)) {
       continue;
     }
     const Job& job = *ledger.FindJob(id);
-    m_seen_at[id] = Now() - AgeOf(job);
+    m_job_seen_at[id] = Now() - AgeOf(job);
     // Jobs accepted by an earlier leader arrived over a longer time, so they do
     // not count as demand that arrives now.
     if (Now() - m_begun_at > kTakeoverTime) {
@@ -492,7 +493,7 @@
     const SteadyTime last_heard =
         std::max({link.last_contact, link.last_announced, m_begun_at});
     if (worker != nullptr && worker->active.empty() &&
-        !link.is_gone_under_way && now - last_heard > kSilenceTimeout) {
+        !link.is_removal_under_way && now - last_heard > kSilenceTimeout) {
       EndWorker(ledger, *worker, "silent", records);
     }
   }
@@ -509,15 +510,15 @@
     if (!job.is_over() || job.active_runs > 0) {
       continue;
     }
-    const auto seen = m_seen_at.find(id);
-    if (seen != m_seen_at.end()) {
+    const auto seen = m_job_seen_at.find(id);
+    if (seen != m_job_seen_at.end()) {
       DecisionLog::Get().Write(
           DecisionLine("dispatch", "job-over", LineClass::kRequest)
               .With("job", id)
               .With("state", JobStateName(job.state))
               .With("within_ms",
                     std::chrono::floor<Millis>(now - seen->second)));
-      m_seen_at.erase(seen);
+      m_job_seen_at.erase(seen);
     }
     const SteadyTime over_since =
         m_job_over_at.try_emplace(id, now).first->second;
@@ -546,7 +547,7 @@
   if (worker.info.is_draining) {
     return Eligibility::kDraining;
   }
-  if (IsEvacuated(worker.info.host)) {
+  if (IsBeingEvacuated(worker.info.host)) {
     return Eligibility::kEvacuated;
   }
   if (now < link.suspect_until) {
@@ -555,10 +556,11 @@
   if (now < link.paused_until) {
     return Eligibility::kPaused;
   }
-  if (!IsRoomHeard(link)) {
+  if (!IsCapacityCurrent(link)) {
     return Eligibility::kCapacityStale;
   }
-  const bool is_stale = now - link.last_contact >= kMaxContactAge + OwnDelay();
+  const bool is_stale =
+      now - link.last_contact >= kMaxContactAge + LeaderDelay();
   return is_stale ? Eligibility::kStale : Eligibility::kUsable;
 }
 
@@ -579,7 +581,7 @@
   starts = m_planner.Plan(
       {ledger, Now(), m_init.wall_now(),
        [&](const Worker& worker) { return AssessWorker(ledger, worker); },
-       m_seen_at});
+       m_job_seen_at});
 }
 
 // Writes one line per step of a plan, not one per task.
@@ -594,8 +596,8 @@
       ++next;
     }
     const RunStarted& start = starts[first];
-    const auto seen = m_seen_at.find(start.task.job);
-    const SteadyTime since = seen == m_seen_at.end() ? Now() : seen->second;
+    const auto seen = m_job_seen_at.find(start.task.job);
+    const SteadyTime since = seen == m_job_seen_at.end() ? Now() : seen->second;
     DecisionLog::Get().Write(
         DecisionLine("dispatch", "starts", LineClass::kTask)
             .With("job", start.task.job)
--- a/packages/dispatch/src/leadership_p.h
+++ b/packages/dispatch/src/leadership_p.h
@@ -77,15 +77,15 @@
 struct RunTrack {
   std::string worker;
   StartStage start = StartStage::kUncertain;
-  bool may_be_on_its_way = false;  ///< A start order got no answer.
+  bool has_unanswered_start = false;  ///< A start order got no answer.
   SteadyTime next_try{};
   SteadyTime begun_at{};    ///< Start committed; zero: by an earlier leader.
   SteadyTime settled_at{};  ///< Hold calls sent later must list the run.
-  bool is_stop_wanted = false;
+  bool is_stop_requested = false;
   StopReason stop_reason = StopReason::kDone;
-  bool is_stop_under_way = false;
-  bool is_stop_taken = false;  ///< The worker accepted the stop order.
-  uint32_t percent = 0;        ///< Progress as last listed.
+  bool is_stop_in_flight = false;
+  bool is_stop_acknowledged = false;  ///< The worker accepted the stop order.
+  uint32_t percent = 0;               ///< Progress as last listed.
   SteadyTime percent_since{};
   bool is_listed = false;  ///< The worker has listed it as running.
   bool is_proof_pending = false;
@@ -100,7 +100,7 @@
 };
 
 /// One incarnation of a worker. A worker that restarts may keep its id.
-struct WorkerLife {
+struct WorkerIncarnation {
   std::string id;   ///< Empty: no worker.
   WallTime born{};  ///< When it began; zero: not known.
 
@@ -110,18 +110,18 @@
   }
 };
 
-/// @param worker Null: gives a WorkerLife without an id.
-WorkerLife LifeOf(const scheduling::Worker* worker);
+/// @param worker Null: gives a WorkerIncarnation without an id.
+WorkerIncarnation IncarnationOf(const scheduling::Worker* worker);
 
 /// Identifies a report of a worker: the incarnation that sent it, and when.
-struct WorkerWord {
+struct ReportStamp {
   WallTime born{};  ///< When that incarnation began; zero: not reported.
   /// When it was sent, by the worker's clock; zero: not reported.
   scheduling::WorkerTime clock{0};
 
   /// Whether it is from a later incarnation than the other one, or from the
   /// same incarnation and not earlier.
-  bool IsNewerThan(const WorkerWord& other) const {
+  bool IsNewerThan(const ReportStamp& other) const {
     return born != other.born ? born > other.born : clock >= other.clock;
   }
 };
@@ -148,7 +148,7 @@
   bool is_lapse_under_way = false;  ///< WorkerLapsed is being committed.
   /// Its lease lapsed, and no hold call was answered since.
   bool is_lapsed = false;
-  bool is_gone_under_way = false;      ///< IncarnationEnded is being committed.
+  bool is_removal_under_way = false;   ///< IncarnationEnded is being committed.
   bool is_awaiting_first_list = true;  ///< Its first list is not committed yet.
   bool is_silent = false;              ///< The last hold call was not answered.
   /// A hold call is open, or the ends that it listed are being committed.
@@ -170,9 +170,9 @@
   /// incarnation while `is_restart_unassessed` is set.
   std::vector<scheduling::LostRun> lapsed_runs;
   /// Newest report whose content is committed; none: nothing is known to be.
-  std::optional<WorkerWord> last_report;
-  /// The worker's clock at `m_rooms_since`.
-  scheduling::WorkerTime clock_at_begin{0};
+  std::optional<ReportStamp> last_report;
+  /// The worker's clock at `m_reports_since`.
+  scheduling::WorkerTime clock_at_reports_since{0};
   uint64_t ends_seen = 0;  ///< Number of the last end that is committed.
   /// Jobs with a failed run here since the last successful run.
   std::set<std::string> failed_jobs;
@@ -210,7 +210,8 @@
   SteadyTime chosen_at{};
   bool is_act_under_way = false;
   SteadyTime next_try{};
-  WorkerLife life_before;   ///< The incarnation that the maintenance ends.
+  WorkerIncarnation
+      life_before;          ///< The incarnation that the maintenance ends.
   SteadyTime acted_at{};    ///< When this leader sent the order, or zero.
   SteadyTime down_since{};  ///< Zero until the order was carried out.
   /// Since when its tasks wait for others that find no place, or zero.
@@ -246,7 +247,7 @@
   SteadyTime ordered_at{};  ///< When it was moved; zero while it is drained.
   bool is_act_under_way = false;
   SteadyTime acted_at{};  ///< When the order was sent; zero: not yet.
-  WorkerLife life_before;
+  WorkerIncarnation life_before;
 };
 
 /// Schedules jobs during one term of this control host as leader.
@@ -268,17 +269,17 @@
   void PlanSoon();
 
   /// A worker announced itself.
-  void Announced(const std::string& worker);
+  void OnAnnounced(const std::string& worker);
 
   /// Handles a report whose content is committed.
-  void Heard(const std::string& worker, const WorkerWord& report);
+  void OnReportCommitted(const std::string& worker, const ReportStamp& report);
 
   /// Handles a report with changes that are not committed yet. Nothing is
   /// planned on the worker until they are.
-  void HeardNews(const std::string& worker, const WorkerWord& report);
+  void OnReportPending(const std::string& worker, const ReportStamp& report);
 
   /// Changes whenever all workers have to report again.
-  uint64_t heard_epoch() const {
+  uint64_t report_epoch() const {
     return (m_term << kEpochPauseBits) + m_long_pauses;
   }
 
@@ -288,7 +289,9 @@
   /// of 100 ms or more, three lags are at least the two rounds that a call may
   /// wait. The bound keeps a pause of the whole process from delaying what
   /// waits for the timeout of a lost order.
-  Millis OwnDelay() const { return std::min(3 * m_tick_lag, kMaxLeaderDelay); }
+  Millis LeaderDelay() const {
+    return std::min(3 * m_tick_lag, kMaxLeaderDelay);
+  }
 
   uint64_t term() const { return m_term; }
   const SchedulerStatus& sight() const { return m_sight; }
@@ -325,13 +328,13 @@
   /// leadership ends first.
   void Commit(Records records, CommitDone done);
 
-  bool IsSureToLead() const {
+  bool HoldsLeaderLease() const {
     return m_init.mutations.is_leadership_assumed ||
            m_leader_lease.IsHeld(m_init.boot_now());
   }
 
   /// The last time at which this host held the leader lease; now while it does.
-  SteadyTime SureAt() const {
+  SteadyTime LeaderLeaseLastHeldAt() const {
     return m_init.mutations.is_leadership_assumed
                ? Now()
                : Now() - m_leader_lease.ExpiredFor(m_init.boot_now());
@@ -342,8 +345,8 @@
   /// the lead. Acts that are still queued when this leadership ends are
   /// dropped.
   template <typename Act>
-  void WhenSure(Act act) {
-    if (m_waiting_acts.empty() && IsSureToLead()) {
+  void RunUnderLeaderLease(Act act) {
+    if (m_waiting_acts.empty() && HoldsLeaderLease()) {
       act();
       return;
     }
@@ -357,13 +360,13 @@
   /// @param is_still_due Called outside of reads of the ledger, so it may read
   ///   the ledger itself.
   template <typename Act, typename IsStillDue>
-  void WhenSure(Act act, IsStillDue is_still_due) {
-    if (m_waiting_acts.empty() && IsSureToLead()) {
+  void RunUnderLeaderLease(Act act, IsStillDue is_still_due) {
+    if (m_waiting_acts.empty() && HoldsLeaderLease()) {
       act();
       return;
     }
-    WhenSure([act = std::move(act),
-              is_still_due = std::move(is_still_due)]() mutable {
+    RunUnderLeaderLease([act = std::move(act),
+                         is_still_due = std::move(is_still_due)]() mutable {
       if (is_still_due()) {
         act();
       }
@@ -374,7 +377,7 @@
   void FlushSoon();
 
   // leadership.cc: batches, planning, tracking of workers, runs and jobs.
-  void FollowWorkers(const Ledger& ledger);
+  void SyncWorkers(const Ledger& ledger);
   void SyncWorker(const Ledger& ledger, const std::string& id);
   void SyncRuns(const Ledger& ledger);
   void SyncJobs(const Ledger& ledger);
@@ -391,15 +394,15 @@
   Eligibility EligibilityOf(const scheduling::Worker& worker,
                             const WorkerLink& link) const;
   /// Whether the worker's committed capacity agrees with a report sent since
-  /// `m_rooms_since`, or shortly before.
+  /// `m_reports_since`, or shortly before.
   /// @pre The link's clock is known.
-  bool IsRoomHeard(const WorkerLink& link) const;
+  bool IsCapacityCurrent(const WorkerLink& link) const;
   /// Whether the last tick was longer ago than kMaxThreadPause.
   bool WasThreadPaused() const;
   /// Makes all workers report their capacities again.
   void DiscardReports();
   void ApplyReport(const std::string& id, WorkerLink& link);
-  static bool IsReportOf(const WorkerLink& link, const WorkerWord& report);
+  static bool IsReportOf(const WorkerLink& link, const ReportStamp& report);
   bool IsUsable(const scheduling::Worker& worker,
                 const WorkerLink& link) const {
     return EligibilityOf(worker, link) == Eligibility::kUsable;
@@ -408,23 +411,23 @@
                                         const scheduling::Worker& worker) const;
 
   // stops.cc: which runs are to be stopped, and whether they may be.
-  static void WantStop(const RunKey& key,
-                       RunTrack& track,
-                       StopReason reason,
-                       const std::optional<StepUnavailability>& others = {});
-  bool IsStillToStop(const Ledger& ledger,
-                     const RunKey& key,
-                     const RunTrack& track) const;
+  static void RequestStop(const RunKey& key,
+                          RunTrack& track,
+                          StopReason reason,
+                          const std::optional<StepUnavailability>& others = {});
+  bool IsStopStillAllowed(const Ledger& ledger,
+                          const RunKey& key,
+                          const RunTrack& track) const;
   void RequestDueStops(const Ledger& ledger);
   void StopStalledRuns(const Ledger& ledger);
   bool IsAtWork(const Ledger& ledger, const scheduling::TaskId& task) const;
   /// None if the task's step is not persistent.
-  std::optional<StepUnavailability> OthersAway(
+  std::optional<StepUnavailability> OthersUnavailable(
       const Ledger& ledger,
       const scheduling::TaskId& task) const;
   /// Whether a task may be stopped. In a persistent step with a limit, fewer
   /// than `may_miss` other tasks must be away.
-  bool MayTakeAway(const Ledger& ledger, const scheduling::TaskId& task) const;
+  bool MayStopTask(const Ledger& ledger, const scheduling::TaskId& task) const;
 
   // reports.cc: log lines that show an engineer on call what holds up jobs.
   void Report(const Ledger& ledger);
@@ -496,7 +499,7 @@
   void CommitEndedRuns(const std::string& worker,
                        uint64_t last_end,
                        Records records);
-  void EndLife(const WorkerLife& incarnation, const char* why);
+  void EndLife(const WorkerIncarnation& incarnation, const char* why);
   void EndReplacedIncarnation(const std::string& worker);
 
   // crashes.cc: lost workers and their runs.
@@ -513,9 +516,9 @@
       const scheduling::Worker& worker,
       const std::vector<scheduling::LostRun>& runs,
       scheduling::LossScope scope) const;
-  void ProveRuns(const Ledger& ledger,
-                 const HoldReply& reply,
-                 Records& records);
+  void AddProvenRuns(const Ledger& ledger,
+                     const HoldReply& reply,
+                     Records& records);
   template <typename Visitor>
   void VisitRuns(const Ledger& ledger,
                  const scheduling::Worker& worker,
@@ -533,17 +536,17 @@
                    const std::vector<scheduling::LostRun>& runs,
                    const std::optional<scheduling::LossTime>& loss,
                    Records& records);
-  void BeginLife(const Ledger& ledger,
-                 const std::string& worker,
-                 WorkerLink& link,
-                 WallTime born);
+  void BeginIncarnation(const Ledger& ledger,
+                        const std::string& worker,
+                        WorkerLink& link,
+                        WallTime born);
   static std::vector<scheduling::LostRun> OutlivedRuns(
       const Ledger& ledger,
       const scheduling::Worker& worker);
-  void BlameForBirth(const Ledger& ledger,
-                     const scheduling::Worker& worker,
-                     const HoldReply& reply,
-                     Records& records);
+  void RecordPreviousCrash(const Ledger& ledger,
+                           const scheduling::Worker& worker,
+                           const HoldReply& reply,
+                           Records& records);
   void LogSuspects(const Ledger& ledger,
                    const scheduling::WorkerCrashed& crash);
   void LogLostRuns(const Ledger& ledger,
@@ -570,7 +573,7 @@
   /// Whether this thread is short of processor time, so that ticks come late.
   bool IsTickLagHigh() const { return m_tick_lag > kHighTickLag; }
   Millis OrderTimeout() const {
-    return m_order_answer_time.Timeout() + OwnDelay();
+    return m_order_answer_time.Timeout() + LeaderDelay();
   }
   void LearnAnswerTime(const CallReply& reply) {
     if (reply.outcome < CallOutcome::kNotReached) {
@@ -651,7 +654,7 @@
 
   const scheduling::Worker* WorkerOn(const Ledger& ledger,
                                      const std::string& host) const;
-  bool IsEvacuated(const std::string& host) const {
+  bool IsBeingEvacuated(const std::string& host) const {
     return m_hosts.contains(host) || m_moves.contains(host);
   }
 
@@ -660,7 +663,7 @@
   const uint64_t m_term;
   const SteadyTime m_begun_at;
   // Reports sent later were received by this leader. Reset after long pauses.
-  SteadyTime m_rooms_since;
+  SteadyTime m_reports_since;
   DispatchCounters& m_counters;
   scheduling::LeaderLease m_leader_lease;
   bool m_is_confirming_leadership = false;
@@ -670,20 +673,20 @@
   std::unordered_map<std::string, WorkerLink> m_links;  // By worker.
   /// The newest report by worker id. It may be from an incarnation that is not
   /// in the ledger yet.
-  std::unordered_map<std::string, WorkerWord> m_reports;
+  std::unordered_map<std::string, ReportStamp> m_reports;
   /// By id of a removed worker: the number of its last incarnation.
   std::unordered_map<std::string, uint64_t> m_last_incarnations;
   std::optional<uint64_t> m_workers_revision;  // As of m_links.
   // The version of the ledger's workers that m_inventory includes.
   std::optional<uint64_t> m_inventory_version;
   std::unordered_map<RunKey, RunTrack, RunKeyHash> m_runs;
-  std::deque<LostWorker> m_lost_workers;                  // Oldest first.
-  std::unordered_map<std::string, SteadyTime> m_seen_at;  // By open job.
-  std::map<std::string, SteadyTime> m_job_over_at;        // By ended job.
-  std::map<std::string, HostMaintenance> m_hosts;         // Under maintenance.
-  std::map<std::string, DeferredHost> m_deferred_hosts;   // By service.
-  std::map<std::string, HostMove> m_moves;                // By host.
-  std::map<std::string, HostState> m_inventory;           // By host.
+  std::deque<LostWorker> m_lost_workers;                      // Oldest first.
+  std::unordered_map<std::string, SteadyTime> m_job_seen_at;  // By open job.
+  std::map<std::string, SteadyTime> m_job_over_at;            // By ended job.
+  std::map<std::string, HostMaintenance> m_hosts;        // Under maintenance.
+  std::map<std::string, DeferredHost> m_deferred_hosts;  // By service.
+  std::map<std::string, HostMove> m_moves;               // By host.
+  std::map<std::string, HostState> m_inventory;          // By host.
   std::set<std::pair<std::string, std::string>> m_refused_moves;
   scheduling::DemandMeter m_demand;
   /// Falling peaks of the cores that all services need, oldest first.
--- a/packages/dispatch/src/moves.cc
+++ b/packages/dispatch/src/moves.cc
@@ -213,9 +213,9 @@
     if (job.is_over() || job.spec.is_timed) {
       continue;
     }
-    const auto seen = m_seen_at.find(id);
+    const auto seen = m_job_seen_at.find(id);
     const auto waiting = m_planner.Waiting(
-        ledger, job, seen == m_seen_at.end() ? now : seen->second, now);
+        ledger, job, seen == m_job_seen_at.end() ? now : seen->second, now);
     const Millis within =
         waiting.is_hopeless
             ? kOverdueQueueTime
@@ -315,7 +315,7 @@
   const SteadyTime heard =
       link.is_reached ? link.last_contact : link.last_announced;
   return !worker.info.is_draining && !link.is_lapsed &&
-         Now() - heard < kServingTimeout + OwnDelay();
+         Now() - heard < kServingTimeout + LeaderDelay();
 }
 
 Millis Leadership::UpdateIdleTime(const std::string& host, double busy_cores) {
@@ -418,7 +418,7 @@
         worker != nullptr && IsUsable(*worker, m_links.at(worker->info.id)) &&
         worker->persistent_runs == 0;
     out.is_movable =
-        state.is_up && !IsEvacuated(host) && (is_off || is_idle_worker);
+        state.is_up && !IsBeingEvacuated(host) && (is_off || is_idle_worker);
     if (worker != nullptr && out.is_movable) {
       out.time_until_idle = EstimateDrainTime(ledger, *worker);
     }
@@ -481,12 +481,12 @@
     return;
   }
   const Worker* worker = WorkerOn(ledger, host);
-  track.life_before = LifeOf(worker);
+  track.life_before = IncarnationOf(worker);
   track.is_act_under_way = true;
   track.acted_at = now;
   HostAct act = MakeHostAct(host);
   act.pool = track.to;
-  WhenSure([this, act = std::move(act)] {
+  RunUnderLeaderLease([this, act = std::move(act)] {
     m_init.hosts->Move(act, [weak = weak_from_this(),
                              host = act.host](HostActOutcome outcome) {
       if (const auto self = weak.lock()) {
--- a/packages/dispatch/src/orders.cc
+++ b/packages/dispatch/src/orders.cc
@@ -92,12 +92,12 @@
     if (now < track.next_try) {
       continue;
     }
-    if (track.is_stop_wanted && !track.is_stop_taken &&
-        !track.is_stop_under_way) {
-      if (IsStillToStop(ledger, key, track)) {
+    if (track.is_stop_requested && !track.is_stop_acknowledged &&
+        !track.is_stop_in_flight) {
+      if (IsStopStillAllowed(ledger, key, track)) {
         SendStop(key, track);
       }
-    } else if (track.start == StartStage::kRetry && !track.is_stop_wanted) {
+    } else if (track.start == StartStage::kRetry && !track.is_stop_requested) {
       SendStart(ledger, key, track);
     }
   }
@@ -142,7 +142,8 @@
   ++m_counters.starts;
   const uint64_t incarnation = link->second.number;
   const auto send = [this, key, incarnation, order]() mutable {
-    order.lease_end = m_links.at(order.worker.id).clock.Extend(SureAt());
+    order.lease_end =
+        m_links.at(order.worker.id).clock.Extend(LeaderLeaseLastHeldAt());
     m_init.workers->Start(
         std::move(order),
         [weak = weak_from_this(), key, incarnation](const CallReply& reply) {
@@ -152,7 +153,7 @@
           }
         });
   };
-  WhenSure(send, [this, key, incarnation] {
+  RunUnderLeaderLease(send, [this, key, incarnation] {
     return IsStartStillDue(key, incarnation);
   });
 }
@@ -170,7 +171,7 @@
   const auto link = m_links.find(track.worker);
   bool is_due = link != m_links.end() && link->second.number == incarnation &&
                 !link->second.is_silent && !link->second.is_lapse_under_way &&
-                !track.is_stop_wanted;
+                !track.is_stop_requested;
   m_log.Read([&](const Ledger& ledger) {
     const Job* job = ledger.FindJob(key.task.job);
     is_due = is_due && job != nullptr && !job->is_over() &&
@@ -193,10 +194,10 @@
   const bool takes_room =
       scheduling::ReservedResources(job.spec.steps[key.task.step]) !=
       scheduling::Resources();
-  if (track.is_listed || !takes_room || IsRoomHeard(link)) {
+  if (track.is_listed || !takes_room || IsCapacityCurrent(link)) {
     return false;
   }
-  if (Now() - std::max(m_rooms_since, link.first_contact) >
+  if (Now() - std::max(m_reports_since, link.first_contact) >
       kCapacityReportTimeout) {
     GiveUpStart(key, track);
     return true;
@@ -276,10 +277,10 @@
       break;  // A later leader continues from the committed state.
     case CallOutcome::kUnknown:
       ++m_counters.unknown_calls;
-      track.may_be_on_its_way = true;
+      track.has_unanswered_start = true;
       // A listed run has started. A run whose stop was taken is barred there,
       // so a start that arrives late has no effect.
-      if (!track.is_listed && !track.is_stop_taken) {
+      if (!track.is_listed && !track.is_stop_acknowledged) {
         track.start = StartStage::kRetry;
         track.next_try = Now() + kOrderRetryDelay;
       }
@@ -291,11 +292,11 @@
       if (link != m_links.end()) {
         link->second.suspect_until = Now() + kSuspectTime;
       }
-      if (track.may_be_on_its_way &&
+      if (track.has_unanswered_start &&
           !m_init.mutations.is_unanswered_start_forgotten) {
         // Says nothing about the earlier order, so the start is repeated unless
         // the run is listed or barred by a stop that was taken meanwhile.
-        const bool is_settled = track.is_listed || track.is_stop_taken;
+        const bool is_settled = track.is_listed || track.is_stop_acknowledged;
         track.start = is_settled ? StartStage::kSettled : StartStage::kRetry;
         track.next_try = Now() + kOrderRetryDelay;
       } else {
@@ -325,10 +326,10 @@
   if (track.is_listed) {
     return;  // The run has started; only the repeated start was refused.
   }
-  if (track.may_be_on_its_way &&
+  if (track.has_unanswered_start &&
       !m_init.mutations.is_unanswered_start_forgotten) {
     track.start = StartStage::kBarring;
-    WantStop(key, track, StopReason::kStartNotAnswered);
+    RequestStop(key, track, StopReason::kStartNotAnswered);
     SendStop(key, track);
     return;
   }
@@ -350,7 +351,7 @@
   if (link == m_links.end()) {
     return;
   }
-  track.is_stop_under_way = true;
+  track.is_stop_in_flight = true;
   ++m_counters.stops;
   const StopOrder order{link->second.address, key.task, key.run,
                         FenceOf(link->second), OrderTimeout()};
@@ -363,7 +364,7 @@
       }
     });
   };
-  WhenSure(send, [this, key] { return IsStopStillDue(key); });
+  RunUnderLeaderLease(send, [this, key] { return IsStopStillDue(key); });
 }
 
 // A stop that waited for a quorum to confirm the leader may be sent seconds
@@ -375,9 +376,9 @@
   }
   RunTrack& track = found->second;
   m_log.Read([&](const Ledger& ledger) {
-    track.is_stop_under_way = IsStillToStop(ledger, key, track);
+    track.is_stop_in_flight = IsStopStillAllowed(ledger, key, track);
   });
-  return track.is_stop_under_way;
+  return track.is_stop_in_flight;
 }
 
 void Leadership::OnStopReply(const RunKey& key,
@@ -392,13 +393,13 @@
   if (link != m_links.end() && link->second.number != incarnation) {
     return;  // For an earlier incarnation.
   }
-  track.is_stop_under_way = false;
+  track.is_stop_in_flight = false;
   if (link != m_links.end() && reply.outcome < CallOutcome::kOtherIncarnation) {
     RecordContact(link->second, reply.clock);
   }
   if (reply.outcome == CallOutcome::kDone ||
       reply.outcome == CallOutcome::kOldRun) {
-    track.is_stop_taken = true;
+    track.is_stop_acknowledged = true;
     // From now on the worker lists the run as ended, or never had it.
     track.start = StartStage::kSettled;
     track.settled_at = Now();
@@ -439,8 +440,8 @@
   // A silent worker may still act on requests that it does not answer: its
   // lease can expire only if no request extends it.
   if (MayExtendLease(link)) {
-    order.lease_end = link.clock.Extend(SureAt());
-    link.lease_start = SureAt();
+    order.lease_end = link.clock.Extend(LeaderLeaseLastHeldAt());
+    link.lease_start = LeaderLeaseLastHeldAt();
   }
   order.fence = FenceOf(link);
   // A new incarnation numbers its ended runs anew: its ends must not be
@@ -452,7 +453,7 @@
           ? link.ends_seen
           : 0;
   order.wait = wait;
-  order.timeout = wait + kHoldAnswerMargin + OwnDelay();
+  order.timeout = wait + kHoldAnswerMargin + LeaderDelay();
   return order;
 }
 
@@ -460,12 +461,12 @@
 // at which this host was sure to lead; one of longer ago would be over already.
 bool Leadership::MayExtendLease(const WorkerLink& link) const {
   return link.clock.is_known() && !link.is_silent &&
-         Now() - SureAt() < m_init.bounds.longest_lease;
+         Now() - LeaderLeaseLastHeldAt() < m_init.bounds.longest_lease;
 }
 
 bool Leadership::IsLeaseExtensionDue(const WorkerLink& link) const {
   return MayExtendLease(link) &&
-         SureAt() - link.lease_start >
+         LeaderLeaseLastHeldAt() - link.lease_start >
              m_init.bounds.longest_lease / kLeaseRenewalDivisor;
 }
 
@@ -535,8 +536,8 @@
   link.suspect_until = SteadyTime();
   if (clock) {
     if (!link.clock.is_known()) {
-      link.clock_at_begin =
-          *clock - std::chrono::floor<Millis>(Now() - m_rooms_since);
+      link.clock_at_reports_since =
+          *clock - std::chrono::floor<Millis>(Now() - m_reports_since);
     }
     link.clock.Observe(*clock, Now());
   }
@@ -558,7 +559,7 @@
   const bool is_new = link.born != WallTime();
   if (is_new) {
     m_log.Read([&](const Ledger& ledger) {
-      BeginLife(ledger, worker, link, reply.born);
+      BeginIncarnation(ledger, worker, link, reply.born);
     });
   }
   link.born = reply.born;
@@ -619,13 +620,13 @@
                                  const HoldReply& reply) {
   Records records;
   m_log.Read([&](const Ledger& ledger) {
-    FollowWorkers(ledger);
+    SyncWorkers(ledger);
     if (!m_links.contains(worker)) {
       return;  // This incarnation has ended meanwhile.
     }
     RecordEndedRuns(ledger, worker, reply, records);
     UpdateRunningRuns(ledger, worker, reply);
-    ProveRuns(ledger, reply, records);
+    AddProvenRuns(ledger, reply, records);
     EndMissingRuns(ledger, worker, asked_at, reply, records);
     PaceFillingTasks(ledger, m_links.at(worker), reply);
     EndOlderWorkersOnHost(ledger, worker, records);
@@ -651,7 +652,7 @@
   }
   for (const std::string& id : ledger.WorkersOn(self->info.host)) {
     WorkerLink& link = m_links.at(id);
-    if (id == worker || link.is_gone_under_way ||
+    if (id == worker || link.is_removal_under_way ||
         link.last_contact >= m_links.at(worker).first_contact) {
       continue;
     }
@@ -728,11 +729,12 @@
               .With("worker", worker)
               .With("why", "not-known"));
       // A lost stop is sent again after the next hold request.
-      WhenSure([this, order = StopOrder{
-                          m_links.at(worker).address, running.task, running.run,
-                          FenceOf(m_links.at(worker)), OrderTimeout()}] {
-        m_init.workers->Stop(order, [](const CallReply&) {});
-      });
+      RunUnderLeaderLease(
+          [this, order = StopOrder{m_links.at(worker).address, running.task,
+                                   running.run, FenceOf(m_links.at(worker)),
+                                   OrderTimeout()}] {
+            m_init.workers->Stop(order, [](const CallReply&) {});
+          });
       continue;
     }
     RunTrack& track = m_runs[{running.task, running.run}];
@@ -762,7 +764,7 @@
   if (known == nullptr) {
     return;
   }
-  BlameForBirth(ledger, *known, reply, records);
+  RecordPreviousCrash(ledger, *known, reply, records);
   for (const scheduling::TaskId& id : known->active) {
     const Job& job = *ledger.FindJob(id.job);
     for (const auto& active : job.tasks[job.IndexOf(id)].active) {
@@ -782,7 +784,7 @@
       }
       if (track.start == StartStage::kUncertain) {
         track.worker = worker;
-        track.may_be_on_its_way = true;
+        track.has_unanswered_start = true;
         track.start = StartStage::kRetry;
       } else if (track.start == StartStage::kSettled &&
                  asked_at > track.settled_at) {
@@ -844,10 +846,11 @@
             .With("worker", link.address.id)
             .With("percent", percent)
             .With("worst_tail_percent", static_cast<int64_t>(worst * 100)));
-    WhenSure([this, order = PaceOrder{link.address, running->task, running->run,
-                                      percent, FenceOf(link), OrderTimeout()}] {
-      SendPace(order);
-    });
+    RunUnderLeaderLease(
+        [this, order = PaceOrder{link.address, running->task, running->run,
+                                 percent, FenceOf(link), OrderTimeout()}] {
+          SendPace(order);
+        });
   }
 }
 
@@ -923,13 +926,14 @@
   });
 }
 
-void Leadership::EndLife(const WorkerLife& incarnation, const char* why) {
+void Leadership::EndLife(const WorkerIncarnation& incarnation,
+                         const char* why) {
   Records records;
   m_log.Read([&](const Ledger& ledger) {
-    FollowWorkers(ledger);
+    SyncWorkers(ledger);
     const auto link = m_links.find(incarnation.id);
     const Worker* worker = ledger.FindWorker(incarnation.id);
-    if (link != m_links.end() && !link->second.is_gone_under_way &&
+    if (link != m_links.end() && !link->second.is_removal_under_way &&
         worker != nullptr && incarnation.IsSame(*worker)) {
       EndWorker(ledger, *worker, why, records);
     }
--- a/packages/dispatch/src/reports.cc
+++ b/packages/dispatch/src/reports.cc
@@ -148,8 +148,8 @@
   std::vector<std::pair<SteadyTime, const Job*>> waiting;
   for (const std::string& id : ledger.open_jobs()) {
     const Job& job = *ledger.FindJob(id);
-    const auto seen = m_seen_at.find(id);
-    if (!job.is_over() && job.active_runs == 0 && seen != m_seen_at.end() &&
+    const auto seen = m_job_seen_at.find(id);
+    if (!job.is_over() && job.active_runs == 0 && seen != m_job_seen_at.end() &&
         now - seen->second > kMinReportedWait) {
       waiting.emplace_back(seen->second, &job);
     }
@@ -166,7 +166,7 @@
     const auto outlook = m_planner.Explain(
         {ledger, now, m_init.wall_now(),
          [&](const Worker& worker) { return AssessWorker(ledger, worker); },
-         m_seen_at},
+         m_job_seen_at},
         job);
     if (!outlook) {
       continue;
--- a/packages/dispatch/src/stops.cc
+++ b/packages/dispatch/src/stops.cc
@@ -46,11 +46,11 @@
   return kStopReasonNames[static_cast<size_t>(reason)];
 }
 
-void Leadership::WantStop(const RunKey& key,
-                          RunTrack& track,
-                          StopReason reason,
-                          const std::optional<StepUnavailability>& others) {
-  track.is_stop_wanted = true;
+void Leadership::RequestStop(const RunKey& key,
+                             RunTrack& track,
+                             StopReason reason,
+                             const std::optional<StepUnavailability>& others) {
+  track.is_stop_requested = true;
   track.stop_reason = reason;
   DecisionLine line("dispatch", "stop",
                     others ? LineClass::kDecision : LineClass::kTask);
@@ -67,17 +67,17 @@
 
 // Checked each time the order is sent. A lost order is sent again seconds
 // later, and other tasks of the step may have gone down by then.
-bool Leadership::IsStillToStop(const Ledger& ledger,
-                               const RunKey& key,
-                               const RunTrack& track) const {
+bool Leadership::IsStopStillAllowed(const Ledger& ledger,
+                                    const RunKey& key,
+                                    const RunTrack& track) const {
   const Job* job = ledger.FindJob(key.task.job);
   return track.stop_reason != StopReason::kMaintenance || job == nullptr ||
-         job->is_over() || MayTakeAway(ledger, key.task);
+         job->is_over() || MayStopTask(ledger, key.task);
 }
 
 void Leadership::RequestDueStops(const Ledger& ledger) {
   for (auto& [key, track] : m_runs) {
-    if (track.is_stop_wanted) {
+    if (track.is_stop_requested) {
       continue;
     }
     const Job* found = ledger.FindJob(key.task.job);
@@ -91,10 +91,10 @@
     const bool is_leaving = worker != nullptr && worker->info.is_draining &&
                             job.StepOf(index).is_persistent;
     if (is_obsolete || is_leaving) {
-      WantStop(
+      RequestStop(
           key, track,
           is_obsolete ? ReasonForObsoleteRun(job) : StopReason::kWorkerLeaves,
-          OthersAway(ledger, key.task));
+          OthersUnavailable(ledger, key.task));
     }
   }
 }
@@ -102,7 +102,7 @@
 void Leadership::StopStalledRuns(const Ledger& ledger) {
   const SteadyTime now = Now();
   for (auto& [key, track] : m_runs) {
-    if (track.is_stop_wanted || !track.is_listed || track.percent >= 100) {
+    if (track.is_stop_requested || !track.is_listed || track.percent >= 100) {
       continue;
     }
     const Job* job = ledger.FindJob(key.task.job);
@@ -119,7 +119,8 @@
       continue;
     }
     link->second.doubtful_until = now + kDoubtfulAfterStall;
-    WantStop(key, track, StopReason::kStalled, OthersAway(ledger, key.task));
+    RequestStop(key, track, StopReason::kStalled,
+                OthersUnavailable(ledger, key.task));
   }
 }
 
@@ -134,11 +135,11 @@
     const bool is_fresh = link != m_links.end() && !link->second.is_silent &&
                           Now() - link->second.last_listed < kMaxListAge;
     return is_fresh && track != m_runs.end() && track->second.is_listed &&
-           track->second.percent >= 100 && !track->second.is_stop_wanted;
+           track->second.percent >= 100 && !track->second.is_stop_requested;
   });
 }
 
-std::optional<StepUnavailability> Leadership::OthersAway(
+std::optional<StepUnavailability> Leadership::OthersUnavailable(
     const Ledger& ledger,
     const TaskId& task) const {
   const Job& job = *ledger.FindJob(task.job);
@@ -155,8 +156,9 @@
   return others;
 }
 
-bool Leadership::MayTakeAway(const Ledger& ledger, const TaskId& task) const {
-  const std::optional<StepUnavailability> others = OthersAway(ledger, task);
+bool Leadership::MayStopTask(const Ledger& ledger, const TaskId& task) const {
+  const std::optional<StepUnavailability> others =
+      OthersUnavailable(ledger, task);
   return !others || others->may_miss == 0 || others->away < others->may_miss;
 }
 
--- a/packages/dispatch/src/waves.cc
+++ b/packages/dispatch/src/waves.cc
@@ -49,9 +49,9 @@
 
 }  // namespace
 
-WorkerLife LifeOf(const Worker* worker) {
-  return worker == nullptr ? WorkerLife()
-                           : WorkerLife{worker->info.id, worker->born};
+WorkerIncarnation IncarnationOf(const Worker* worker) {
+  return worker == nullptr ? WorkerIncarnation()
+                           : WorkerIncarnation{worker->info.id, worker->born};
 }
 
 const Worker* Leadership::WorkerOn(const Ledger& ledger,
@@ -139,7 +139,7 @@
   }
   std::vector<std::pair<double, std::string>> waiting;
   for (const auto& [host, stage] : wave.hosts) {
-    if (stage != WaveStage::kWaiting || IsEvacuated(host) ||
+    if (stage != WaveStage::kWaiting || IsBeingEvacuated(host) ||
         IsMaintenanceDeferred(host)) {
       continue;
     }
@@ -256,12 +256,12 @@
       for (const auto& active : job.tasks[job.IndexOf(id)].active) {
         const auto run = m_runs.find({id, active.run});
         if (active.worker != life || run == m_runs.end() ||
-            run->second.is_stop_wanted) {
+            run->second.is_stop_requested) {
           continue;
         }
-        if (MayTakeAway(ledger, id)) {
-          WantStop(run->first, run->second, StopReason::kMaintenance,
-                   OthersAway(ledger, id));
+        if (MayStopTask(ledger, id)) {
+          RequestStop(run->first, run->second, StopReason::kMaintenance,
+                      OthersUnavailable(ledger, id));
         } else {
           use.is_leave_blocked =
               use.is_leave_blocked || WaitsForUnplacedTasks(ledger, id);
@@ -323,7 +323,7 @@
       CountHostsDown(wave, host) >= wave.opened.most_at_once) {
     return;
   }
-  track.life_before = LifeOf(worker);
+  track.life_before = IncarnationOf(worker);
   track.is_act_under_way = true;
   track.acted_at = now;
   if (wave.hosts.at(host) == WaveStage::kOrdered) {
@@ -350,7 +350,7 @@
   act.fence = m_term;
   act.may_send = [weak = weak_from_this()] {
     const auto self = weak.lock();
-    return self != nullptr && self->IsSureToLead();
+    return self != nullptr && self->HoldsLeaderLease();
   };
   return act;
 }
@@ -358,7 +358,7 @@
 void Leadership::Maintain(uint64_t wave, const std::string& host) {
   HostAct act = MakeHostAct(host);
   act.wave = wave;
-  WhenSure([this, act = std::move(act)] {
+  RunUnderLeaderLease([this, act = std::move(act)] {
     m_init.hosts->Maintain(act, [weak = weak_from_this(), wave = act.wave,
                                  host = act.host](HostActOutcome outcome) {
       if (const auto self = weak.lock()) {
