--- a/packages/planning/include/laurelhall/planning/controller.h
+++ b/packages/planning/include/laurelhall/planning/controller.h
@@ -7,18 +7,21 @@
 
 namespace laurelhall::planning {
 
-/// Decides what the leader does with hosts, waves and roll-outs next.
+/// Plans the leader's next transitions of hosts, waves and roll-outs.
 ///
-/// @remarks Holds no state but its policy: the same fleet and input give the
-///   same result, so that a step may run twice or on the next leader. Each
-///   action is fenced by its host's epoch, and whoever commits a drain checks
-///   it again (budget::MayDrain). Thread-safe.
+/// @remarks Its policy is its only state: the same fleet and input give the
+///   same result, so a step may run twice or be repeated by the next leader.
+///   Each action is fenced by its host's epoch, and the code that commits a
+///   drain must check it against the budgets again (budget::MayDrain).
+///   Thread-safe.
 class FleetController {
  public:
   explicit FleetController(const PlanningPolicy& policy = {});
 
-  /// Plans one step: first what gives hosts back, then moves, roll-outs,
-  /// waves and the standing schedule. O(hosts) with a few lookups each.
+  /// Plans one step. Cancels drains and moves that are no longer needed and
+  /// advances hosts that are under way, then plans new moves, drains for
+  /// roll-outs and for waves, and at last the periodic waves that are due.
+  /// O(hosts) with a few lookups each.
   StepResult Step(const model::Fleet& fleet, const StepInput& input) const;
 
   const PlanningPolicy& policy() const { return m_policy; }
@@ -27,9 +30,11 @@
   PlanningPolicy m_policy;
 };
 
-/// Says why a host is where it is and what it waits for, a line per fact.
+/// Explains why a host is in its state and what it waits for.
 ///
-/// @returns One line that says so if the host isn't known. Thread-safe.
+/// @returns One line per fact; for an unknown host, one line that says that it
+///   is unknown.
+/// @remarks Thread-safe.
 std::vector<std::string> ExplainHost(const model::Fleet& fleet,
                                      const std::string& id,
                                      const StepInput& input,
--- a/packages/planning/include/laurelhall/planning/rollout.h
+++ b/packages/planning/include/laurelhall/planning/rollout.h
@@ -5,7 +5,7 @@
 
 #include "laurelhall/planning/plan.h"
 
-// Roll-out of a version over the hosts of a service.
+// Roll-out of a version to the hosts of a service.
 namespace laurelhall::planning {
 
 struct RolloutStep {
@@ -13,8 +13,8 @@
   model::Rollout rollout;
 };
 
-/// Makes a roll-out; its hosts are ordered by zone, the smallest zone first.
-/// Thread-safe.
+/// Creates a roll-out whose hosts are ordered by zone, the smallest zone
+/// first. Thread-safe.
 model::Rollout PlanRollout(const model::Fleet& fleet,
                            std::string id,
                            const std::string& service,
@@ -22,16 +22,17 @@
                            std::string previous_version,
                            WallTime now);
 
-/// Hosts that may have the new version by the end of each stage: one, a
-/// twentieth, a quarter, then one zone after the other. Thread-safe.
+/// Returns how many hosts may run the new version by the end of each stage:
+/// one, a twentieth, a quarter, then one zone after the other. Thread-safe.
 std::vector<int> RolloutStages(const model::Fleet& fleet,
                                const model::Rollout& rollout);
 
-/// Works out what a roll-out does next; as StepWave().
+/// Plans a roll-out's next step. Parameters, result and thread safety are
+/// those of StepWave().
 ///
-/// @remarks It rolls back when hosts with the new version fail more than the
-///   others, or when the service burns fast and the new version isn't known
-///   to do as well as the old one.
+/// @remarks Rolls back if hosts with the new version fail a larger share of
+///   their requests than the others, or if the service burns its error budget
+///   fast and the new version isn't known to do as well as the old one.
 RolloutStep StepRollout(const model::Fleet& fleet,
                         const model::Rollout& rollout,
                         budget::Budget& budget,
--- a/packages/planning/include/laurelhall/planning/wave.h
+++ b/packages/planning/include/laurelhall/planning/wave.h
@@ -5,7 +5,8 @@
 
 #include "laurelhall/planning/plan.h"
 
-// Maintenance waves: drain, confirm empty, stop, return, warm up.
+// Maintenance waves. Each host is drained, confirmed empty, stopped for
+// maintenance, returned and warmed up.
 namespace laurelhall::planning {
 
 struct WaveStep {
@@ -13,50 +14,54 @@
   model::Wave wave;
 };
 
-/// Makes a wave over all hosts of some pools, ordered by failure domain.
+/// Creates a wave over all hosts of some pools, ordered by failure domain.
 ///
-/// @remarks Thread-safe. Hosts of one zone, and in it of one rack, go one
-///   after the other, so that a domain's loss hits hosts that are away
-///   already; all pools go at once.
+/// @remarks Thread-safe. Hosts of one zone, and within it of one rack, are
+///   next to each other in the order, so that the loss of a domain is likely
+///   to hit hosts that are away already. All pools are maintained in parallel.
 model::Wave PlanWave(const model::Fleet& fleet,
                      std::string id,
                      std::vector<std::string> pools,
                      WallTime now);
 
-/// Works out what a wave does next.
+/// Plans a wave's next step.
 ///
-/// @param fleet The committed state; the wave's progress is read from its
-///   hosts, so that a step may be lost, repeated or made by another leader.
+/// @param fleet The committed state. The wave's progress is derived from its
+///   hosts, so a step may be lost, repeated or planned by another leader.
 /// @param wave The wave as committed.
-/// @param budget Counted on `fleet`; the hosts that are to drain are taken
-///   from it.
-/// @returns The actions, fenced by epochs, and the wave as it now stands.
-/// @remarks A wave without `finish_by` goes as fast as the budgets allow. One
-///   with time to spare keeps its pools at their targets, or takes one host at
-///   a time where there is no reserve. Not thread-safe for one budget; else
-///   thread-safe.
+/// @param budget Evaluated on `fleet`; the hosts to drain are taken from it.
+/// @returns The actions, fenced by host epochs, and the updated wave.
+/// @remarks A wave without `finish_by` drains hosts as fast as the budgets
+///   allow. One with time to spare keeps its pools at their target sizes, or
+///   drains one host at a time in pools without spare hosts. Thread-safe unless
+///   calls share a budget.
 WaveStep StepWave(const model::Fleet& fleet,
                   const model::Wave& wave,
                   budget::Budget& budget,
                   const StepInput& input,
                   const PlanningPolicy& policy = {});
 
-/// Starts the waves that keep every host within its pool's period.
+/// Creates the periodic waves that keep every host within the maintenance
+/// period of its pool.
 ///
-/// @returns A new wave `period-POOL-DAY` for each pool that has hosts due and
-///   no wave under way; at most one for a pool and day, so that two leaders
-///   make the same one. A halted one holds up its pool until it is resolved.
-/// @remarks Thread-safe. A host goes as late as leaves a daily quota enough
-///   for those that are due after it, so that none is done much more often
-///   than its period asks; one near its end goes without quota.
+/// @returns A new wave `period-POOL-DAY` for each pool that has due hosts and
+///   no unfinished wave. There is at most one per pool and day, so that two
+///   leaders create the same one. A halted periodic wave blocks further ones
+///   for its pool until it is resolved.
+/// @remarks Thread-safe. Each host is maintained as late as the daily quota
+///   allows without delaying the hosts that are due after it, so that none is
+///   maintained much more often than its period asks. A host near the end of
+///   its period is included regardless of the quota.
 std::vector<model::Wave> ScheduleWaves(const model::Fleet& fleet,
                                        const StepInput& input,
                                        const PlanningPolicy& policy = {});
 
-/// The least time in which the hosts of some pools can be done: for each
-/// service its hosts × time per host ÷ the hosts that may be away at once.
+/// Returns a lower bound on the time to maintain all hosts of some pools: the
+/// largest over the services of hosts × time per host ÷ the hosts that may be
+/// away at once.
 ///
-/// @remarks Thread-safe. Zero concurrency gives Millis::max().
+/// @remarks Thread-safe. Returns Millis::max() if a service lets no host be
+///   away.
 Millis WaveLowerBound(const model::Fleet& fleet,
                       const std::vector<std::string>& pools,
                       Millis time_per_host,
--- a/packages/planning/src/act_progress.cc
+++ b/packages/planning/src/act_progress.cc
@@ -5,7 +5,7 @@
 
 using budget::BurnSeverity;
 
-/// The services whose hosts these pools hold.
+/// Returns the services that these pools belong to.
 std::set<int> ServicesOf(const PlanContext& context,
                          const std::vector<std::string>& pools) {
   std::set<int> services;
@@ -16,9 +16,10 @@
   return services;
 }
 
-bool Touches(const PlanContext& context,
-             const DownDomain& domain,
-             const std::set<int>& services) {
+/// Whether hosts of these services have failed in the domain.
+bool AffectsServices(const PlanContext& context,
+                     const DownDomain& domain,
+                     const std::set<int>& services) {
   for (const std::string_view pool : domain.pools) {
     for (const int service : context.budget().PoolServices(pool)) {
       if (services.count(service)) {
@@ -29,21 +30,22 @@
   return false;
 }
 
+/// Whether a budget of the pool's services is short or burns too fast.
 bool IsBlocked(const PlanContext& context, const std::string& pool) {
   return !context.budget().IsPoolWhole(pool) ||
          context.budget().PoolBurn(pool) >= context.policy().budget.stop_at;
 }
 
-std::string DomainReason(const PlanContext& context,
-                         const std::vector<std::string>& pools,
-                         bool is_any_blocked) {
+std::string DownDomainReason(const PlanContext& context,
+                             const std::vector<std::string>& pools,
+                             bool is_any_blocked) {
   const std::set<int> services = ServicesOf(context, pools);
   for (const DownDomain& domain : context.view().down_domains()) {
     const bool is_recent =
         context.now() - domain.last_failure < context.policy().settle;
-    const bool holds_up =
-        (is_recent || is_any_blocked) && Touches(context, domain, services);
-    if (holds_up) {
+    const bool must_pause = (is_recent || is_any_blocked) &&
+                            AffectsServices(context, domain, services);
+    if (must_pause) {
       return domain.name + " is down: " + std::to_string(domain.failed) +
              " of " + std::to_string(domain.hosts) + " hosts failed";
     }
@@ -74,17 +76,21 @@
   const auto is_blocked = [&](const std::string& pool) {
     return IsBlocked(context, pool);
   };
-  const bool is_any = std::any_of(pools.begin(), pools.end(), is_blocked);
-  if (is_any || !context.view().down_domains().empty()) {
-    std::string reason = DomainReason(context, pools, is_any);
+  const bool is_any_blocked =
+      std::any_of(pools.begin(), pools.end(), is_blocked);
+  if (is_any_blocked || !context.view().down_domains().empty()) {
+    std::string reason = DownDomainReason(context, pools, is_any_blocked);
     if (!reason.empty()) {
       return reason;
     }
   }
-  // A pool that is short holds up its own hosts alone.
-  const bool are_all = std::all_of(pools.begin(), pools.end(), is_blocked);
-  return are_all && !pools.empty() ? BudgetReason(context, pools.front())
-                                   : std::string();
+  // A pool with a short budget blocks only its own hosts. The whole act pauses
+  // when all of its pools are blocked.
+  const bool are_all_blocked =
+      std::all_of(pools.begin(), pools.end(), is_blocked);
+  return are_all_blocked && !pools.empty()
+             ? BudgetReason(context, pools.front())
+             : std::string();
 }
 
 }  // namespace laurelhall::planning
--- a/packages/planning/src/act_progress_p.h
+++ b/packages/planning/src/act_progress_p.h
@@ -8,35 +8,40 @@
 
 #include "planning_p.h"
 
-// What waves and roll-outs share: lists of hosts that are read anew from the
-// fleet at each step, so that no step depends on the one before.
+// Progress of acts, that is of waves and roll-outs. The lists of their hosts
+// are rebuilt from the fleet at each step, so that no step depends on the
+// previous one.
 namespace laurelhall::planning {
 
-/// Whether a wave or roll-out can't wait for the host: an operator holds it,
-/// or it has failed for longer than hosts take to come back.
-inline bool IsOutOfReach(const PlanContext& context, const model::Host& host) {
-  const bool is_operators =
+/// Whether a wave or roll-out may finish without the host: an operator drains
+/// it, it has been failed for at least the policy's return timeout, or it has
+/// only been announced.
+inline bool IsSkippable(const PlanContext& context, const model::Host& host) {
+  const bool is_held_by_operator =
       IsLeaving(host) && !IsPlannedReason(host.drain_reason);
-  const bool is_lost =
+  const bool has_failed_too_long =
       host.state == model::HostState::kFailed &&
       context.now() - host.state_since >= context.policy().return_timeout;
-  return is_lost || is_operators || host.state == model::HostState::kAnnounced;
+  return has_failed_too_long || is_held_by_operator ||
+         host.state == model::HostState::kAnnounced;
 }
 
-/// Whether the host drains past its bound, which costs it one try.
-inline bool IsPostponedNow(const PlanContext& context,
-                           const model::Host& host) {
+/// Whether the host isn't empty at its drain timeout, which counts as one
+/// failed drain attempt.
+inline bool HasDrainTimedOut(const PlanContext& context,
+                             const model::Host& host) {
   return host.state == model::HostState::kDraining &&
          context.IsPastDrainBound(host) && !context.IsEmpty(host);
 }
 
-/// Sorts the hosts of a wave or roll-out into its lists, each kept in order.
-template <typename Act>
+/// Sorts the hosts of a wave or roll-out into its lists by their state. Hosts
+/// keep their order within a list.
+template <typename WaveOrRollout>
 class ProgressReader {
  public:
   using IsDone = std::function<bool(const model::Host&)>;
 
-  ProgressReader(const PlanContext& context, Act& act, IsDone is_done)
+  ProgressReader(const PlanContext& context, WaveOrRollout& act, IsDone is_done)
       : m_context(context),
         m_before(act),
         m_act(act),
@@ -44,43 +49,46 @@
         m_postponed(m_before.postponed.begin(), m_before.postponed.end()),
         m_given_up(m_before.given_up.begin(), m_before.given_up.end()) {}
 
-  /// Drops hosts from the lists that are neither among these nor held by the
-  /// act: they moved to where it doesn't apply.
-  void KeepOnly(const std::vector<std::string>& members) {
+  /// Makes Read() drop hosts that neither are among these nor are being
+  /// drained for the act: they moved to pools that it doesn't cover.
+  void RestrictTo(const std::vector<std::string>& members) {
     m_members.emplace(members.begin(), members.end());
   }
 
+  /// Rebuilds the act's lists.
+  ///
   /// @param members Hosts that belong to the act besides those in its lists.
   void Read(const std::vector<std::string>& members) {
     for (auto* list : {&m_act.pending, &m_act.active, &m_act.done,
                        &m_act.postponed, &m_act.given_up}) {
       list->clear();
     }
-    // A host whose drain was cancelled goes to the front of the pending ones.
+    // Active hosts come before pending ones, so that a host whose drain was
+    // cancelled is the first to be tried again.
     for (const auto* list :
          {&m_before.done, &m_before.active, &m_before.pending,
           &m_before.postponed, &m_before.given_up, &members}) {
       for (const std::string& id : *list) {
-        Place(id);
+        AddToList(id);
       }
     }
     for (const model::Host* host : m_context.view().ActHosts(m_act.id)) {
-      Place(host->id);
+      AddToList(host->id);
     }
   }
 
  private:
-  void Place(const std::string& id) {
+  void AddToList(const std::string& id) {
     const model::Host* host = m_context.view().FindHost(id);
     const bool is_gone =
         host == nullptr || host->state == model::HostState::kRetired;
-    if (is_gone || HasLeft(*host) || !m_placed.insert(host->id).second) {
+    if (is_gone || IsOutOfScope(*host) || !m_listed.insert(host->id).second) {
       return;
     }
     ListFor(*host).push_back(host->id);
   }
 
-  bool HasLeft(const model::Host& host) const {
+  bool IsOutOfScope(const model::Host& host) const {
     return m_members && !m_members->count(host.id) && host.act != m_act.id;
   }
 
@@ -103,10 +111,10 @@
   }
 
   std::vector<std::string>& ListForActive(const model::Host& host) {
-    if (!IsPostponedNow(m_context, host)) {
+    if (!HasDrainTimedOut(m_context, host)) {
       return m_act.active;
     }
-    // Counted once per drain: the list remembers that it was.
+    // Hosts already on the list were counted: one attempt per drain.
     if (!m_postponed.count(host.id)) {
       ++m_act.tries[host.id];
     }
@@ -114,25 +122,27 @@
   }
 
   const PlanContext& m_context;
-  const Act m_before;
-  Act& m_act;
+  const WaveOrRollout m_before;
+  WaveOrRollout& m_act;
   IsDone m_is_done;
   std::set<std::string_view> m_postponed;
   std::set<std::string_view> m_given_up;
-  std::set<std::string_view> m_placed;
+  std::set<std::string_view> m_listed;
   std::optional<std::set<std::string>> m_members;
 };
 
-/// Whether a postponed host has rested for long enough to be tried again.
-inline bool MayRetry(const PlanContext& context, const model::Host& host) {
+/// Whether a postponed host has been in its state for its pool's drain timeout,
+/// after which its drain is tried again.
+inline bool IsRetryDue(const PlanContext& context, const model::Host& host) {
   return context.now() - host.state_since >=
          context.view().PoolOf(host).drain_timeout;
 }
 
-/// Hosts to drain next: the pending ones in order, then the postponed.
-template <typename Act>
+/// Returns the hosts to drain next: the pending ones in order, then those
+/// postponed ones whose retry is due.
+template <typename WaveOrRollout>
 std::vector<const model::Host*> DrainCandidates(const PlanContext& context,
-                                                const Act& act) {
+                                                const WaveOrRollout& act) {
   std::vector<const model::Host*> hosts;
   for (const std::string& id : act.pending) {
     const model::Host* host = context.view().FindHost(id);
@@ -142,43 +152,44 @@
   }
   for (const std::string& id : act.postponed) {
     const model::Host* host = context.view().FindHost(id);
-    if (host != nullptr && IsFree(*host) && MayRetry(context, *host)) {
+    if (host != nullptr && IsFree(*host) && IsRetryDue(context, *host)) {
       hosts.push_back(host);
     }
   }
   return hosts;
 }
 
-/// Whether nothing is left but hosts that the act can't wait for.
-template <typename Act>
-bool IsFinished(const PlanContext& context, const Act& act) {
-  const auto is_out_of_reach = [&](const std::string& id) {
+/// Whether no host is active and all that remain may be skipped.
+template <typename WaveOrRollout>
+bool IsFinished(const PlanContext& context, const WaveOrRollout& act) {
+  const auto is_skippable = [&](const std::string& id) {
     const model::Host* host = context.view().FindHost(id);
-    return host == nullptr || IsOutOfReach(context, *host);
+    return host == nullptr || IsSkippable(context, *host);
   };
   return act.active.empty() &&
-         std::all_of(act.pending.begin(), act.pending.end(), is_out_of_reach) &&
-         std::all_of(act.postponed.begin(), act.postponed.end(),
-                     is_out_of_reach);
+         std::all_of(act.pending.begin(), act.pending.end(), is_skippable) &&
+         std::all_of(act.postponed.begin(), act.postponed.end(), is_skippable);
 }
 
-/// Says in one line which hosts were left out; empty if none.
-template <typename Act>
-std::string LeftOut(const Act& act) {
+/// Returns one line that counts the hosts that the act skipped, or an empty
+/// text if it skipped none.
+template <typename WaveOrRollout>
+std::string SkippedHostsSummary(const WaveOrRollout& act) {
   std::string text;
   if (!act.given_up.empty()) {
     text = std::to_string(act.given_up.size()) +
            " never became empty and were given up";
   }
-  const size_t unreached = act.pending.size() + act.postponed.size();
-  if (unreached > 0) {
-    text += (text.empty() ? "" : "; ") + std::to_string(unreached) +
+  const size_t skipped = act.pending.size() + act.postponed.size();
+  if (skipped > 0) {
+    text += (text.empty() ? "" : "; ") + std::to_string(skipped) +
             " failed or are held by an operator";
   }
   return text;
 }
 
-/// Why acts on these pools must wait, or an empty text.
+/// Returns why waves and roll-outs on these pools must pause, or an empty text
+/// if they needn't.
 std::string PauseReason(const PlanContext& context,
                         const std::vector<std::string>& pools);
 
--- a/packages/planning/src/controller.cc
+++ b/packages/planning/src/controller.cc
@@ -5,12 +5,13 @@
 namespace laurelhall::planning {
 namespace {
 
-/// Keeps those of the judged acts that differ from the committed ones.
-template <typename Act>
-std::vector<Act> Changed(const std::vector<Act>& judged,
-                         const std::map<std::string, Act>& committed) {
-  std::vector<Act> changed;
-  for (const Act& act : judged) {
+/// Returns the updated waves or roll-outs that differ from the committed ones.
+template <typename WaveOrRollout>
+std::vector<WaveOrRollout> SelectChanged(
+    const std::vector<WaveOrRollout>& updated,
+    const std::map<std::string, WaveOrRollout>& committed) {
+  std::vector<WaveOrRollout> changed;
+  for (const WaveOrRollout& act : updated) {
     if (committed.at(act.id) != act) {
       changed.push_back(act);
     }
@@ -18,9 +19,11 @@
   return changed;
 }
 
-template <typename Act>
-std::vector<Act> OpenActs(const std::map<std::string, Act>& committed) {
-  std::vector<Act> open;
+/// Returns the waves or roll-outs that haven't ended.
+template <typename WaveOrRollout>
+std::vector<WaveOrRollout> SelectOpen(
+    const std::map<std::string, WaveOrRollout>& committed) {
+  std::vector<WaveOrRollout> open;
   for (const auto& [id, act] : committed) {
     const bool is_open = act.state == model::ActState::kRunning ||
                          act.state == model::ActState::kPaused ||
@@ -43,15 +46,15 @@
   budget::Budget budget =
       budget::Budget::Evaluate(fleet, input.burn, m_policy.budget);
   PlanContext context(view, budget, input, m_policy);
-  std::vector<model::Rollout> rollouts = OpenActs(fleet.rollouts);
-  std::vector<model::Wave> waves = OpenActs(fleet.waves);
-  ActStates acts;
+  std::vector<model::Rollout> rollouts = SelectOpen(fleet.rollouts);
+  std::vector<model::Wave> waves = SelectOpen(fleet.waves);
+  UpdatedActs acts;
   for (model::Rollout& rollout : rollouts) {
-    JudgeRollout(context, rollout);
+    UpdateRolloutState(context, rollout);
     acts.rollouts[rollout.id] = &rollout;
   }
   for (model::Wave& wave : waves) {
-    JudgeWave(context, wave);
+    UpdateWaveState(context, wave);
     acts.waves[wave.id] = &wave;
   }
   CancelUnneededMoves(context);
@@ -64,9 +67,9 @@
     StartWaveDrains(context, wave);
   }
   StepResult result;
-  result.waves = Changed(waves, fleet.waves);
-  result.rollouts = Changed(rollouts, fleet.rollouts);
-  for (model::Wave& wave : ScheduleWavesIn(context)) {
+  result.waves = SelectChanged(waves, fleet.waves);
+  result.rollouts = SelectChanged(rollouts, fleet.rollouts);
+  for (model::Wave& wave : ScheduleWavesForStep(context)) {
     result.waves.push_back(std::move(wave));
   }
   result.actions = context.TakeActions();
--- a/packages/planning/src/host_progress.cc
+++ b/packages/planning/src/host_progress.cc
@@ -3,7 +3,8 @@
 
 #include "planning_p.h"
 
-// Takes hosts through a drain that is under way, whoever asked for it.
+// Plans the next transitions of hosts that are draining, drained or returning,
+// whether planning or an operator started the drain.
 namespace laurelhall::planning {
 namespace {
 
@@ -13,22 +14,22 @@
 using model::HostEvent;
 using model::HostState;
 
-/// What a host may do on behalf of its act.
+/// What the state of an act (wave, roll-out or move) allows its hosts to do.
 enum class Permission {
-  kGo,
-  kHold,  ///< Stay as it is: the act pauses.
-  kBack,  ///< The act no longer wants it.
+  kProceed,
+  kWait,      ///< Keep the host's state: the act is paused.
+  kGiveBack,  ///< Cancel the host's drain: the act has ended.
 };
 
-Permission PermissionOf(ActState state) {
+Permission PermissionInState(ActState state) {
   switch (state) {
     case ActState::kRunning:
     case ActState::kRollingBack:
-      return Permission::kGo;
+      return Permission::kProceed;
     case ActState::kPaused:
-      return Permission::kHold;
+      return Permission::kWait;
     default:
-      return Permission::kBack;
+      return Permission::kGiveBack;
   }
 }
 
@@ -45,26 +46,28 @@
 }
 
 const model::Rollout* RolloutOf(const PlanContext& context,
-                                const ActStates& acts,
+                                const UpdatedActs& acts,
                                 const Host& host) {
   return FindAct(acts.rollouts, context.fleet().rollouts, host.act);
 }
 
 Permission ActPermission(const PlanContext& context,
-                         const ActStates& acts,
+                         const UpdatedActs& acts,
                          const Host& host) {
-  // Without an act it is an operator's own drain, or a move.
+  // A drain without an act was started by an operator. Moves have no state of
+  // their own that could pause them.
   if (host.act.empty() || host.drain_reason == DrainReason::kMove) {
-    return Permission::kGo;
+    return Permission::kProceed;
   }
   if (host.drain_reason == DrainReason::kRollout) {
     const model::Rollout* rollout = RolloutOf(context, acts, host);
-    return rollout == nullptr ? Permission::kBack
-                              : PermissionOf(rollout->state);
+    return rollout == nullptr ? Permission::kGiveBack
+                              : PermissionInState(rollout->state);
   }
   const model::Wave* wave =
       FindAct(acts.waves, context.fleet().waves, host.act);
-  return wave == nullptr ? Permission::kBack : PermissionOf(wave->state);
+  return wave == nullptr ? Permission::kGiveBack
+                         : PermissionInState(wave->state);
 }
 
 std::string TargetVersion(const model::Rollout& rollout) {
@@ -72,21 +75,22 @@
                                                  : rollout.version;
 }
 
-/// Returns true if the host goes back to its pool instead of on.
-bool GiveBackIfUnwanted(PlanContext& context,
-                        const ActStates& acts,
-                        const Host& host) {
+/// Cancels a planned drain whose act has ended or whose target pool is gone.
+/// Returns whether it did.
+bool CancelDrainIfObsolete(PlanContext& context,
+                           const UpdatedActs& acts,
+                           const Host& host) {
   if (!IsPlannedReason(host.drain_reason)) {
     return false;
   }
-  if (ActPermission(context, acts, host) == Permission::kBack) {
+  if (ActPermission(context, acts, host) == Permission::kGiveBack) {
     context.Act(host, HostEvent::kCancelDrain,
                 host.act + " doesn't run any more");
     return true;
   }
-  const bool has_no_pool = host.drain_reason == DrainReason::kMove &&
-                           !context.fleet().pools.count(host.move_to);
-  if (has_no_pool) {
+  const bool lacks_target_pool = host.drain_reason == DrainReason::kMove &&
+                                 !context.fleet().pools.count(host.move_to);
+  if (lacks_target_pool) {
     context.Act(host, HostEvent::kCancelDrain,
                 "pool " + host.move_to + " doesn't exist");
     return true;
@@ -95,9 +99,9 @@
 }
 
 void AdvanceDraining(PlanContext& context,
-                     const ActStates& acts,
+                     const UpdatedActs& acts,
                      const Host& host) {
-  if (GiveBackIfUnwanted(context, acts, host)) {
+  if (CancelDrainIfObsolete(context, acts, host)) {
     return;
   }
   if (context.IsEmpty(host)) {
@@ -112,7 +116,7 @@
   }
 }
 
-void StopHost(PlanContext& context, const ActStates& acts, const Host& host) {
+void StopHost(PlanContext& context, const UpdatedActs& acts, const Host& host) {
   std::string version;
   if (host.drain_reason == DrainReason::kRollout) {
     version = TargetVersion(*RolloutOf(context, acts, host));
@@ -126,29 +130,30 @@
 }
 
 void AdvanceDrained(PlanContext& context,
-                    const ActStates& acts,
+                    const UpdatedActs& acts,
                     const Host& host) {
-  if (GiveBackIfUnwanted(context, acts, host)) {
+  if (CancelDrainIfObsolete(context, acts, host)) {
     return;
   }
   if (context.IsPastDrainBound(host)) {
     context.Act(host, HostEvent::kCancelDrain, "held drained for too long");
     return;
   }
-  // Everything is looked at again here: the host was confirmed empty on an
-  // older view, and the budget was taken before whatever failed since.
-  const bool may_go = context.IsEmpty(host) &&
-                      ActPermission(context, acts, host) == Permission::kGo &&
-                      context.budget().IsHostWhole(host.id);
+  // Checks everything again: the host was confirmed empty on an older view, and
+  // other hosts may have failed since the budget was taken.
+  const bool can_proceed =
+      context.IsEmpty(host) &&
+      ActPermission(context, acts, host) == Permission::kProceed &&
+      context.budget().IsHostWhole(host.id);
   switch (host.drain_reason) {
     case DrainReason::kMaintenance:
     case DrainReason::kRollout:
-      if (may_go) {
+      if (can_proceed) {
         StopHost(context, acts, host);
       }
       return;
     case DrainReason::kMove:
-      if (may_go) {
+      if (can_proceed) {
         context.Act(host, HostEvent::kMovePool, "joins " + host.move_to);
       }
       return;
@@ -158,12 +163,12 @@
       }
       return;
     default:
-      return;  // An operator's: stays drained until the operator acts.
+      return;  // An operator's drain: it lasts until the operator ends it.
   }
 }
 
 void AdvanceReturning(PlanContext& context,
-                      const ActStates&,
+                      const UpdatedActs&,
                       const Host& host) {
   const Millis warm_up = context.view().PoolOf(host).warm_up;
   if (context.now() - host.state_since >= warm_up) {
@@ -172,48 +177,50 @@
   }
 }
 
-void Stay(PlanContext&, const ActStates&, const Host&) {}
+void DoNothing(PlanContext&, const UpdatedActs&, const Host&) {}
 
-using Advance = void (*)(PlanContext&, const ActStates&, const Host&);
+using AdvanceFunction = void (*)(PlanContext&, const UpdatedActs&, const Host&);
 
-constexpr std::array<Advance, static_cast<size_t>(HostState::kCount)>
+constexpr std::array<AdvanceFunction, static_cast<size_t>(HostState::kCount)>
     kAdvanceByState = {
-        &Stay,              // kAnnounced
-        &Stay,              // kInPool
+        &DoNothing,         // kAnnounced
+        &DoNothing,         // kInPool
         &AdvanceDraining,   // kDraining
         &AdvanceDrained,    // kDrained
-        &Stay,              // kInMaintenance
+        &DoNothing,         // kInMaintenance
         &AdvanceReturning,  // kReturning
-        &Stay,              // kFailed
-        &Stay,              // kRetired
+        &DoNothing,         // kFailed
+        &DoNothing,         // kRetired
 };
 
-/// Newest first: the least has been spent on them.
-bool IsNewer(const Host* a, const Host* b) {
+/// Orders hosts by the time of their last transition, the latest first:
+/// cancelling the latest drains discards the least progress.
+bool StartedLater(const Host* a, const Host* b) {
   return a->state_since != b->state_since ? a->state_since > b->state_since
                                           : a->id < b->id;
 }
 
-void GiveBackForBudgets(PlanContext& context,
-                        const std::vector<const Host*>& hosts) {
-  std::vector<const Host*> planned;
+/// Cancels planned drains until the budgets of their hosts would be whole.
+void CancelDrainsForBudgets(PlanContext& context,
+                            const std::vector<const Host*>& hosts) {
+  std::vector<const Host*> cancellable;
   for (const Host* host : hosts) {
-    const bool is_needed = IsLeaving(*host) &&
-                           IsPlannedReason(host->drain_reason) &&
-                           !context.budget().IsHostWhole(host->id);
-    if (is_needed) {
-      planned.push_back(host);
+    const bool is_cancellable = IsLeaving(*host) &&
+                                IsPlannedReason(host->drain_reason) &&
+                                !context.budget().IsHostWhole(host->id);
+    if (is_cancellable) {
+      cancellable.push_back(host);
     }
   }
-  if (planned.empty()) {
+  if (cancellable.empty()) {
     return;
   }
-  std::sort(planned.begin(), planned.end(), IsNewer);
-  budget::Budget once_back = context.budget();
-  for (const Host* host : planned) {
-    if (!once_back.IsHostWhole(host->id)) {
+  std::sort(cancellable.begin(), cancellable.end(), StartedLater);
+  budget::Budget budget_after_cancels = context.budget();
+  for (const Host* host : cancellable) {
+    if (!budget_after_cancels.IsHostWhole(host->id)) {
       context.Act(*host, HostEvent::kCancelDrain, "its service is short");
-      once_back.GiveBack(host->id);
+      budget_after_cancels.GiveBack(host->id);
     }
   }
 }
@@ -221,7 +228,7 @@
 }  // namespace
 
 void AdvanceHosts(PlanContext& context,
-                  const ActStates& acts,
+                  const UpdatedActs& acts,
                   std::string_view only_act) {
   std::vector<const Host*> hosts;
   if (only_act.empty()) {
@@ -233,7 +240,7 @@
   } else {
     hosts = context.view().ActHosts(only_act);
   }
-  GiveBackForBudgets(context, hosts);
+  CancelDrainsForBudgets(context, hosts);
   for (const Host* host : hosts) {
     if (!context.IsTouched(*host)) {
       kAdvanceByState[static_cast<size_t>(host->state)](context, acts, *host);
--- a/packages/planning/src/lifecycle.cc
+++ b/packages/planning/src/lifecycle.cc
@@ -16,87 +16,91 @@
 using msm::front::none;
 using msm::front::Row;
 
+/// An event as a type of its own, as MSM's table needs it.
 template <HostEvent kEvent>
-struct On {
+struct TypedEvent {
   DrainReason reason = DrainReason::kNone;
 };
 
-/// Puts a fresh machine into the state that a host was committed in.
+/// Event that puts a new machine into the state that a host was committed in.
 template <HostState kState>
-struct Resume {};
+struct Restore {};
 
+/// A state as a type of its own; entering it records its value.
 template <HostState kState>
-struct In : msm::front::state<> {
+struct TypedState : msm::front::state<> {
   template <typename Event, typename Machine>
   void on_entry(const Event&, Machine& machine) {
     machine.m_state = kState;
   }
 };
-struct Fresh : msm::front::state<> {};
+/// State of a new machine, before Restore.
+struct Initial : msm::front::state<> {};
 
 /// Guard: the host drains for one of these reasons.
 template <DrainReason... kReasons>
-struct For {
+struct DrainsFor {
   template <typename Event, typename Machine, typename From, typename To>
   bool operator()(const Event& event, Machine&, From&, To&) const {
     return ((event.reason == kReasons) || ...);
   }
 };
-using ForAny = For<DrainReason::kMaintenance,
-                   DrainReason::kMove,
-                   DrainReason::kRollout,
-                   DrainReason::kOperator,
-                   DrainReason::kRetire>;
-using ForStop = For<DrainReason::kMaintenance,
-                    DrainReason::kRollout,
-                    DrainReason::kOperator>;
-using ForMove = For<DrainReason::kMove>;
-using ForRetire = For<DrainReason::kRetire, DrainReason::kOperator>;
-
-using Announced = In<HostState::kAnnounced>;
-using InPool = In<HostState::kInPool>;
-using Draining = In<HostState::kDraining>;
-using Drained = In<HostState::kDrained>;
-using InMaintenance = In<HostState::kInMaintenance>;
-using Returning = In<HostState::kReturning>;
-using Failed = In<HostState::kFailed>;
-using Retired = In<HostState::kRetired>;
-
-using Join = On<HostEvent::kJoin>;
-using Drain = On<HostEvent::kDrain>;
-using ConfirmEmpty = On<HostEvent::kConfirmEmpty>;
-using CancelDrain = On<HostEvent::kCancelDrain>;
-using Stop = On<HostEvent::kStopForMaintenance>;
-using MovePool = On<HostEvent::kMovePool>;
-using Return = On<HostEvent::kReturn>;
-using Warm = On<HostEvent::kWarm>;
-using Fail = On<HostEvent::kFail>;
-using Retire = On<HostEvent::kRetire>;
+using DrainsForAny = DrainsFor<DrainReason::kMaintenance,
+                               DrainReason::kMove,
+                               DrainReason::kRollout,
+                               DrainReason::kOperator,
+                               DrainReason::kRetire>;
+using DrainsForStop = DrainsFor<DrainReason::kMaintenance,
+                                DrainReason::kRollout,
+                                DrainReason::kOperator>;
+using DrainsForMove = DrainsFor<DrainReason::kMove>;
+using DrainsForRetire = DrainsFor<DrainReason::kRetire, DrainReason::kOperator>;
+
+using Announced = TypedState<HostState::kAnnounced>;
+using InPool = TypedState<HostState::kInPool>;
+using Draining = TypedState<HostState::kDraining>;
+using Drained = TypedState<HostState::kDrained>;
+using InMaintenance = TypedState<HostState::kInMaintenance>;
+using Returning = TypedState<HostState::kReturning>;
+using Failed = TypedState<HostState::kFailed>;
+using Retired = TypedState<HostState::kRetired>;
+
+using Join = TypedEvent<HostEvent::kJoin>;
+using Drain = TypedEvent<HostEvent::kDrain>;
+using ConfirmEmpty = TypedEvent<HostEvent::kConfirmEmpty>;
+using CancelDrain = TypedEvent<HostEvent::kCancelDrain>;
+using Stop = TypedEvent<HostEvent::kStopForMaintenance>;
+using MovePool = TypedEvent<HostEvent::kMovePool>;
+using Return = TypedEvent<HostEvent::kReturn>;
+using Warm = TypedEvent<HostEvent::kWarm>;
+using Fail = TypedEvent<HostEvent::kFail>;
+using Retire = TypedEvent<HostEvent::kRetire>;
 
 struct LifecycleDef : msm::front::state_machine_def<LifecycleDef> {
-  using initial_state = Fresh;
-  // Guards and entries don't post events or throw: no queues are needed.
+  using initial_state = Initial;
+  // Guards and entry actions neither post events nor throw, so the message
+  // queue and the exception handling are switched off.
   using no_message_queue = int;
   using no_exception_thrown = int;
 
   HostState m_state = HostState::kCount;
 
-  // MSM asks for the table by this name.
+  // MSM requires this name.
   // clang-format off
   // NOLINTNEXTLINE(readability-identifier-naming)
   struct transition_table : boost::mpl::vector<
       Row<Announced,     Join,         Returning>,
       Row<Announced,     Fail,         Failed>,
       Row<Announced,     Retire,       Retired>,
-      Row<InPool,        Drain,        Draining,      none, ForAny>,
+      Row<InPool,        Drain,        Draining,      none, DrainsForAny>,
       Row<InPool,        Fail,         Failed>,
       Row<Draining,      ConfirmEmpty, Drained>,
       Row<Draining,      CancelDrain,  InPool>,
       Row<Draining,      Fail,         Failed>,
       Row<Drained,       CancelDrain,  InPool>,
-      Row<Drained,       Stop,         InMaintenance, none, ForStop>,
-      Row<Drained,       MovePool,     Returning,     none, ForMove>,
-      Row<Drained,       Retire,       Retired,       none, ForRetire>,
+      Row<Drained,       Stop,         InMaintenance, none, DrainsForStop>,
+      Row<Drained,       MovePool,     Returning,     none, DrainsForMove>,
+      Row<Drained,       Retire,       Retired,       none, DrainsForRetire>,
       Row<Drained,       Fail,         Failed>,
       Row<InMaintenance, Return,       Returning>,
       Row<InMaintenance, Fail,         Failed>,
@@ -105,18 +109,19 @@
       Row<Returning,     Fail,         Failed>,
       Row<Failed,        Return,       Returning>,
       Row<Failed,        Retire,       Retired>,
-      Row<Fresh, Resume<HostState::kAnnounced>,     Announced>,
-      Row<Fresh, Resume<HostState::kInPool>,        InPool>,
-      Row<Fresh, Resume<HostState::kDraining>,      Draining>,
-      Row<Fresh, Resume<HostState::kDrained>,       Drained>,
-      Row<Fresh, Resume<HostState::kInMaintenance>, InMaintenance>,
-      Row<Fresh, Resume<HostState::kReturning>,     Returning>,
-      Row<Fresh, Resume<HostState::kFailed>,        Failed>,
-      Row<Fresh, Resume<HostState::kRetired>,       Retired>
+      Row<Initial, Restore<HostState::kAnnounced>,     Announced>,
+      Row<Initial, Restore<HostState::kInPool>,        InPool>,
+      Row<Initial, Restore<HostState::kDraining>,      Draining>,
+      Row<Initial, Restore<HostState::kDrained>,       Drained>,
+      Row<Initial, Restore<HostState::kInMaintenance>, InMaintenance>,
+      Row<Initial, Restore<HostState::kReturning>,     Returning>,
+      Row<Initial, Restore<HostState::kFailed>,        Failed>,
+      Row<Initial, Restore<HostState::kRetired>,       Retired>
   > {};
   // clang-format on
 
-  /// An event without a row isn't allowed; the caller sees that.
+  /// Called for an event without a row. Does nothing: process_event() tells its
+  /// caller that the event wasn't handled.
   template <typename Machine, typename Event>
   void no_transition(const Event&, Machine&, int) {}
 };
@@ -126,19 +131,22 @@
 constexpr size_t kEvents = static_cast<size_t>(HostEvent::kCount);
 constexpr size_t kReasons = static_cast<size_t>(DrainReason::kCount);
 
-using Next = std::optional<HostState>;
-using ByReason = std::array<Next, kReasons>;
-using Table = std::array<std::array<ByReason, kEvents>, kStates>;
+using OptionalState = std::optional<HostState>;
+using ByReason = std::array<OptionalState, kReasons>;
+using NextStateTable = std::array<std::array<ByReason, kEvents>, kStates>;
 
+/// Finds the state after one event in one state, for each drain reason, by
+/// running the state machine.
 template <size_t kFrom, size_t kEvent>
-ByReason RunMachine() {
+ByReason NextStatesByReason() {
   ByReason next;
   for (size_t reason = 0; reason < kReasons; ++reason) {
     Lifecycle machine;
     machine.start();
-    machine.process_event(Resume<static_cast<HostState>(kFrom)>());
-    const auto handled = machine.process_event(
-        On<static_cast<HostEvent>(kEvent)>{static_cast<DrainReason>(reason)});
+    machine.process_event(Restore<static_cast<HostState>(kFrom)>());
+    const auto handled =
+        machine.process_event(TypedEvent<static_cast<HostEvent>(kEvent)>{
+            static_cast<DrainReason>(reason)});
     if (handled == msm::back::HANDLED_TRUE) {
       next[reason] = machine.m_state;
     }
@@ -147,22 +155,26 @@
 }
 
 template <size_t kFrom, size_t... kEventIndices>
-std::array<ByReason, kEvents> RunEvents(std::index_sequence<kEventIndices...>) {
-  return {RunMachine<kFrom, kEventIndices>()...};
+std::array<ByReason, kEvents> NextStatesByEvent(
+    std::index_sequence<kEventIndices...>) {
+  return {NextStatesByReason<kFrom, kEventIndices>()...};
 }
 
 template <size_t... kFromIndices>
-Table RunAll(std::index_sequence<kFromIndices...>) {
-  return {RunEvents<kFromIndices>(std::make_index_sequence<kEvents>())...};
+NextStateTable MakeTable(std::index_sequence<kFromIndices...>) {
+  return {
+      NextStatesByEvent<kFromIndices>(std::make_index_sequence<kEvents>())...};
 }
 
-const Table& Transitions() {
-  static const Table table = RunAll(std::make_index_sequence<kStates>());
+const NextStateTable& TransitionTable() {
+  static const NextStateTable table =
+      MakeTable(std::make_index_sequence<kStates>());
   return table;
 }
 
 template <typename Enum>
-std::string Name(Enum value) {
+/// Returns the enumerator's name without its leading `k`.
+std::string EnumName(Enum value) {
   return std::string(boost::describe::enum_to_string(value, "kUnknown") + 1);
 }
 
@@ -174,14 +186,14 @@
       continue;
     }
     ++allowed;
-    names +=
-        (names.empty() ? "" : ", ") + Name(static_cast<DrainReason>(reason));
+    names += (names.empty() ? "" : ", ") +
+             EnumName(static_cast<DrainReason>(reason));
   }
   return allowed == kReasons ? "any" : names;
 }
 
-Next FirstNext(const ByReason& by_reason) {
-  for (const Next& next : by_reason) {
+OptionalState FirstAllowed(const ByReason& by_reason) {
+  for (const OptionalState& next : by_reason) {
     if (next) {
       return next;
     }
@@ -189,7 +201,7 @@
   return std::nullopt;
 }
 
-void EndDrain(model::Host& host) {
+void ClearDrain(model::Host& host) {
   host.drain_reason = DrainReason::kNone;
   host.move_to.clear();
   host.act.clear();
@@ -210,7 +222,7 @@
   host.moved_from = host.pool;
   host.last_moved = at;
   host.pool = host.move_to;
-  EndDrain(host);
+  ClearDrain(host);
 }
 
 void OnReturn(model::Host& host, const Transition& transition, WallTime at) {
@@ -224,26 +236,26 @@
   }
 }
 
-void OnEnd(model::Host& host, const Transition&, WallTime) {
-  EndDrain(host);
+void OnDrainEnd(model::Host& host, const Transition&, WallTime) {
+  ClearDrain(host);
 }
 
-void Keep(model::Host&, const Transition&, WallTime) {}
+void NoEffect(model::Host&, const Transition&, WallTime) {}
 
 using Effect = void (*)(model::Host&, const Transition&, WallTime);
 
-/// What each event does to the host, besides its state.
+/// How each event changes the host's members other than its state.
 constexpr std::array<Effect, kEvents> kEffects = {
-    &OnEnd,       // kJoin
+    &OnDrainEnd,  // kJoin
     &OnDrain,     // kDrain
-    &Keep,        // kConfirmEmpty
-    &OnEnd,       // kCancelDrain
+    &NoEffect,    // kConfirmEmpty
+    &OnDrainEnd,  // kCancelDrain
     &OnStop,      // kStopForMaintenance
     &OnMovePool,  // kMovePool
     &OnReturn,    // kReturn
-    &OnEnd,       // kWarm
-    &OnEnd,       // kFail
-    &OnEnd,       // kRetire
+    &OnDrainEnd,  // kWarm
+    &OnDrainEnd,  // kFail
+    &OnDrainEnd,  // kRetire
 };
 
 }  // namespace
@@ -258,7 +270,7 @@
       reason_index >= kReasons) {
     return std::nullopt;
   }
-  return Transitions()[from_index][event_index][reason_index];
+  return TransitionTable()[from_index][event_index][reason_index];
 }
 
 std::optional<model::Host> ApplyTransition(const model::Host& host,
@@ -270,7 +282,7 @@
   const bool is_drain = transition.event == HostEvent::kDrain;
   const DrainReason reason =
       is_drain ? transition.drain_reason : host.drain_reason;
-  const Next next = NextState(host.state, transition.event, reason);
+  const OptionalState next = NextState(host.state, transition.event, reason);
   const bool lacks_pool =
       is_drain && reason == DrainReason::kMove &&
       (transition.move_to.empty() || transition.move_to == host.pool);
@@ -290,14 +302,14 @@
       "| from | event | to | drain reason |\n|---|---|---|---|\n";
   for (size_t from = 0; from < kStates; ++from) {
     for (size_t event = 0; event < kEvents; ++event) {
-      const ByReason& by_reason = Transitions()[from][event];
-      const Next next = FirstNext(by_reason);
+      const ByReason& by_reason = TransitionTable()[from][event];
+      const OptionalState next = FirstAllowed(by_reason);
       if (!next) {
         continue;
       }
-      text += "| " + Name(static_cast<HostState>(from)) + " | " +
-              Name(static_cast<HostEvent>(event)) + " | " + Name(*next) +
-              " | " + ReasonNames(by_reason) + " |\n";
+      text += "| " + EnumName(static_cast<HostState>(from)) + " | " +
+              EnumName(static_cast<HostEvent>(event)) + " | " +
+              EnumName(*next) + " | " + ReasonNames(by_reason) + " |\n";
     }
   }
   return text;
--- a/packages/planning/src/planning_p.h
+++ b/packages/planning/src/planning_p.h
@@ -12,27 +12,28 @@
 
 namespace laurelhall::planning {
 
-/// A rack or availability zone that has gone.
+/// A rack or availability zone of which more than half the hosts failed.
 struct DownDomain {
   std::string name;
   int hosts = 0;
   int failed = 0;
   WallTime last_failure{};
-  std::set<std::string_view> pools;  ///< Whose hosts failed there.
+  std::set<std::string_view> pools;  ///< Pools of the failed hosts.
 };
 
-/// Hosts of one fleet by pool and by act, and the domains that are down.
-/// Refers to the fleet, which must outlive it.
+/// Index of a fleet's hosts by pool and by act (the wave, roll-out or move
+/// that they are drained for), and of the failure domains that are down. Refers
+/// to the fleet, which must outlive it.
 class FleetView {
  public:
   FleetView(const model::Fleet& fleet, const PlanningPolicy& policy);
 
   const model::Fleet& fleet() const { return m_fleet; }
-  /// Announced and retired hosts aren't among them.
+  /// Returns the pool's hosts without the announced and the retired ones.
   const std::vector<const model::Host*>& PoolHosts(std::string_view pool) const;
   const std::vector<const model::Host*>& ActHosts(std::string_view act) const;
   const model::Host* FindHost(const std::string& id) const;
-  /// The host's pool, or one with default bounds if it is unknown.
+  /// Returns the host's pool, or a default-constructed one if it is unknown.
   const model::Pool& PoolOf(const model::Host& host) const;
   const std::vector<DownDomain>& down_domains() const { return m_down; }
 
@@ -50,7 +51,7 @@
   std::vector<DownDomain> m_down;
 };
 
-/// What a host is drained for.
+/// Why and for which act a host is to be drained.
 struct DrainRequest {
   model::DrainReason reason = model::DrainReason::kNone;
   std::string act;
@@ -58,10 +59,11 @@
   budget::BurnGate gate = budget::BurnGate::kApply;
 };
 
-/// What the parts of one step share.
+/// The inputs, budget and planned actions of one planning step.
 ///
-/// A host that a step gives back isn't given back to the step's budget: a
-/// drain of the same step must not rest on a transition that may be refused.
+/// Cancelling a host's drain doesn't return the host to this budget: a drain
+/// planned in the same step must not depend on a transition that may be
+/// refused.
 class PlanContext {
  public:
   PlanContext(const FleetView& view,
@@ -77,27 +79,32 @@
   const PlanningPolicy& policy() const { return m_policy; }
   WallTime now() const { return m_input.now; }
 
-  /// Plans a transition; at most one per host and step.
+  /// Plans a transition. Does nothing if the host already has one in this
+  /// step.
   void Act(const model::Host& host,
            model::HostEvent event,
            std::string why,
            const std::string& version = {});
 
-  /// Takes the host from the budgets and plans its drain. Returns false, with
-  /// nothing planned, if a budget refuses or the host isn't free.
+  /// Takes the host from the budgets and plans its drain. Returns false and
+  /// plans nothing if a budget refuses, if the host isn't free or has a planned
+  /// action, or if a host is being moved to one of its pool's services.
   bool Drain(const model::Host& host,
              const DrainRequest& request,
              std::string why);
 
+  /// Whether an action is planned for the host in this step.
   bool IsTouched(const model::Host& host) const {
     return m_touched.count(host.id) > 0;
   }
-  /// Whether the host is known to have nothing in flight.
+  /// Whether the host is known to have no requests or jobs in flight.
   bool IsEmpty(const model::Host& host) const;
-  /// Whether a planned drain has lasted its bound without coming to an end.
+  /// Whether a drain that planning started has lasted for its pool's drain
+  /// timeout and the host is still draining or drained.
   bool IsPastDrainBound(const model::Host& host) const;
 
-  /// Whether a host joins a service of this pool in this step.
+  /// Whether this step moves a host into a pool that shares a service with
+  /// this one.
   bool IsJoined(const std::string& pool) const;
 
   std::vector<Action> TakeActions() { return std::move(m_actions); }
@@ -109,54 +116,57 @@
   const PlanningPolicy& m_policy;
   std::vector<Action> m_actions;
   std::unordered_set<std::string_view> m_touched;
-  /// Services that a host joins in this step. It is away until it is warm, so
-  /// that they may have less to give than the budget was counted with.
+  /// Services that a host joins in this step. The host isn't available until
+  /// it is warm, so the services may spare fewer hosts than the budget counted.
   std::set<int> m_joined_services;
 };
 
-/// Whether the host serves its pool and nothing holds it.
+/// Whether the host serves its pool and belongs to no act.
 bool IsFree(const model::Host& host);
 
-/// Whether the host drains or is drained.
+/// Whether the host is draining or drained.
 bool IsLeaving(const model::Host& host);
 
-/// Whether planning itself, not an operator, drains hosts for this reason.
+/// Whether this is a reason for which planning, not an operator, starts drains.
 bool IsPlannedReason(model::DrainReason reason);
 
-/// Whether a host of this capacity can serve a pool of that shape.
+/// Whether the capacity is at least the pool's host shape in each resource.
 bool FitsShape(const model::Resources& capacity, const model::Resources& shape);
 
 /// Orders hosts by zone, rack, id.
 bool DomainLess(const model::Host& a, const model::Host& b);
 
-/// Acts that have changed in this step, which decide what their hosts may do.
-struct ActStates {
+/// The waves and roll-outs as updated by this step, by id. They take precedence
+/// over the committed ones.
+struct UpdatedActs {
   std::unordered_map<std::string_view, const model::Wave*> waves;
   std::unordered_map<std::string_view, const model::Rollout*> rollouts;
 };
 
-/// Takes every host that is on its way one transition further, and gives back
-/// those that a short budget needs or whose act no longer wants them.
+/// Plans the next transition of every host that is draining, drained or
+/// returning. Cancels planned drains whose act no longer runs, and as many as
+/// are needed to refill the budgets that are short.
 ///
-/// @param only_act If not empty, only this act's hosts.
+/// @param only_act If not empty, covers only the hosts of this act.
 void AdvanceHosts(PlanContext& context,
-                  const ActStates& acts,
+                  const UpdatedActs& acts,
                   std::string_view only_act = {});
 
-/// Reads a wave's progress from its hosts, and pauses, halts, resumes or ends
-/// it. StartWaveDrains() follows once hosts have been given back.
-void JudgeWave(PlanContext& context, model::Wave& wave);
+/// Derives a wave's progress from its hosts, and pauses, halts, resumes or ends
+/// it. Call StartWaveDrains() only after AdvanceHosts(), which cancels drains.
+void UpdateWaveState(PlanContext& context, model::Wave& wave);
 void StartWaveDrains(PlanContext& context, const model::Wave& wave);
 
-void JudgeRollout(PlanContext& context, model::Rollout& rollout);
+void UpdateRolloutState(PlanContext& context, model::Rollout& rollout);
 void StartRolloutDrains(PlanContext& context, const model::Rollout& rollout);
 
-/// Cancels moves into pools that no longer need them.
+/// Cancels moves to pools that no longer need another host.
 void CancelUnneededMoves(PlanContext& context);
 void PlanMovesIn(PlanContext& context);
-std::vector<model::Wave> ScheduleWavesIn(const PlanContext& context);
+std::vector<model::Wave> ScheduleWavesForStep(const PlanContext& context);
 
-/// The first host of the act that has been in maintenance for too long.
+/// Returns the first host of the act that has been in maintenance for longer
+/// than the return timeout, or null if there is none.
 const model::Host* FindOverdueHost(const PlanContext& context,
                                    std::string_view act);
 
--- a/packages/planning/src/rollout.cc
+++ b/packages/planning/src/rollout.cc
@@ -12,9 +12,12 @@
 using model::Host;
 using model::Rollout;
 
-/// The stages that are watched for a while before the next one starts.
-constexpr double kBakedShares[] = {0.05, 0.25};
-constexpr int kBakedStages = 1 + static_cast<int>(std::size(kBakedShares));
+/// Shares of the hosts up to which the second and the third stage go. The first
+/// stage is one host. All three bake, that is they are watched for a while
+/// before the next stage starts.
+constexpr double kBakedStageShares[] = {0.05, 0.25};
+constexpr int kBakedStageCount =
+    1 + static_cast<int>(std::size(kBakedStageShares));
 
 const std::string& TargetVersion(const Rollout& rollout) {
   return rollout.state == ActState::kRollingBack ? rollout.previous_version
@@ -43,8 +46,9 @@
   return zones;
 }
 
-/// Zones one after the other, the smallest first: a bad version meets it.
-std::vector<const Host*> InRolloutOrder(std::vector<const Host*> hosts) {
+/// Orders hosts zone by zone, the smallest zone first, so that a bad version
+/// reaches the fewest hosts of a zone first.
+std::vector<const Host*> SortInRolloutOrder(std::vector<const Host*> hosts) {
   const std::map<std::string, int> zones = CountZones(hosts);
   std::sort(hosts.begin(), hosts.end(), [&](const Host* a, const Host* b) {
     const int hosts_a = zones.at(a->availability_zone);
@@ -54,7 +58,7 @@
   return hosts;
 }
 
-std::vector<std::string> Ids(const std::vector<const Host*>& hosts) {
+std::vector<std::string> HostIds(const std::vector<const Host*>& hosts) {
   std::vector<std::string> ids;
   ids.reserve(hosts.size());
   for (const Host* host : hosts) {
@@ -63,10 +67,11 @@
   return ids;
 }
 
+/// Returns how many hosts may run the new version by the end of each stage.
 std::vector<int> StageTargets(const std::vector<const Host*>& hosts) {
   const int count = static_cast<int>(hosts.size());
   std::vector<int> targets = {std::min(1, count)};
-  for (const double share : kBakedShares) {
+  for (const double share : kBakedStageShares) {
     const int target = static_cast<int>(std::ceil(count * share));
     targets.push_back(std::max(targets.back(), target));
   }
@@ -83,38 +88,40 @@
   return targets;
 }
 
-/// What the hosts of each version answered.
+/// Request outcomes summed over the hosts of each version.
 struct VersionOutcomes {
   HostOutcomes with_new;
   HostOutcomes with_old;
 };
 
-void Add(HostOutcomes& sum, const HostOutcomes& outcomes) {
+void AddOutcomes(HostOutcomes& sum, const HostOutcomes& outcomes) {
   sum.good += outcomes.good;
   sum.bad += outcomes.bad;
 }
 
-int64_t Requests(const HostOutcomes& outcomes) {
+int64_t RequestCount(const HostOutcomes& outcomes) {
   return outcomes.good + outcomes.bad;
 }
 
 double ErrorShare(const HostOutcomes& outcomes) {
-  const int64_t all = Requests(outcomes);
+  const int64_t all = RequestCount(outcomes);
   return all == 0
              ? 0
              : static_cast<double>(outcomes.bad) / static_cast<double>(all);
 }
 
-/// Judges one roll-out in one step.
-class RolloutJudge {
+/// Derives one roll-out's progress from its hosts and updates its state and
+/// stage for one step.
+class RolloutUpdater {
  public:
-  RolloutJudge(PlanContext& context, Rollout& rollout)
+  RolloutUpdater(PlanContext& context, Rollout& rollout)
       : m_context(context),
         m_rollout(rollout),
-        m_hosts(InRolloutOrder(ServiceHosts(context.view(), rollout.service))) {
+        m_hosts(
+            SortInRolloutOrder(ServiceHosts(context.view(), rollout.service))) {
   }
 
-  void Judge() {
+  void Update() {
     ReadProgress();
     if (m_rollout.is_held) {
       m_rollout.state = ActState::kPaused;
@@ -124,24 +131,24 @@
       return;
     }
     if (m_rollout.state == ActState::kRollingBack) {
-      EndRollback();
+      HaltIfRollbackIsComplete();
       return;
     }
-    if (RollBackIfBad()) {
+    if (StartRollbackIfNeeded()) {
       ReadProgress();
       return;
     }
-    PauseOrGoOn();
+    UpdateForwardState();
   }
 
  private:
   void ReadProgress() {
     const std::string target = TargetVersion(m_rollout);
-    const std::vector<std::string> members = Ids(m_hosts);
+    const std::vector<std::string> members = HostIds(m_hosts);
     ProgressReader<Rollout> reader(m_context, m_rollout, [&](const Host& host) {
       return host.version == target;
     });
-    reader.KeepOnly(members);
+    reader.RestrictTo(members);
     reader.Read(members);
   }
 
@@ -156,23 +163,24 @@
     return true;
   }
 
-  void EndRollback() {
-    const bool is_over = IsFinished(m_context, m_rollout);
-    if (is_over) {
+  void HaltIfRollbackIsComplete() {
+    const bool is_complete = IsFinished(m_context, m_rollout);
+    if (is_complete) {
       m_rollout.state = ActState::kHalted;
       m_rollout.reason = "rolled back to " + m_rollout.previous_version + ": " +
                          m_rollout.reason;
     }
   }
 
-  bool RollBackIfBad() {
-    const std::string reason = BadReason();
+  bool StartRollbackIfNeeded() {
+    const std::string reason = RollbackReason();
     if (reason.empty()) {
       return false;
     }
     m_rollout.state = ActState::kRollingBack;
     m_rollout.reason = reason;
-    // Lists and tries start anew, towards the previous version.
+    // Hosts that were given up or postponed are tried again with the previous
+    // version.
     m_rollout.given_up.clear();
     m_rollout.postponed.clear();
     m_rollout.tries.clear();
@@ -188,7 +196,7 @@
         continue;
       }
       const bool is_new = host->version == m_rollout.version;
-      Add(is_new ? sums.with_new : sums.with_old, found->second);
+      AddOutcomes(is_new ? sums.with_new : sums.with_old, found->second);
     }
     return sums;
   }
@@ -199,8 +207,9 @@
     });
   }
 
-  /// Why the new version is to be taken back, or an empty text.
-  std::string BadReason() const {
+  /// Returns why the new version must be rolled back, or an empty text if it
+  /// needn't.
+  std::string RollbackReason() const {
     if (!HasNewVersion()) {
       return {};
     }
@@ -208,25 +217,31 @@
     const VersionOutcomes sums = Outcomes();
     const double with_new = ErrorShare(sums.with_new);
     const double with_old = ErrorShare(sums.with_old);
-    const bool is_known = Requests(sums.with_new) >= policy.compare_requests;
-    if (is_known &&
+    const bool has_enough_requests =
+        RequestCount(sums.with_new) >= policy.compare_requests;
+    if (has_enough_requests &&
         with_new > with_old * policy.error_ratio + policy.error_margin) {
       return "hosts with " + m_rollout.version + " fail " +
              std::to_string(sums.with_new.bad) + " of " +
-             std::to_string(Requests(sums.with_new)) + " requests";
+             std::to_string(RequestCount(sums.with_new)) + " requests";
     }
-    const bool is_as_good =
-        is_known && Requests(sums.with_old) >= policy.compare_requests &&
+    const bool is_known_as_good =
+        has_enough_requests &&
+        RequestCount(sums.with_old) >= policy.compare_requests &&
         with_new <= with_old;
     const budget::ServiceBudget* service =
         m_context.budget().Find(m_rollout.service);
-    const bool burns = service != nullptr &&
-                       service->burn.severity == budget::BurnSeverity::kFast;
-    return burns && !is_as_good ? m_rollout.service + " burns its budget fast"
-                                : std::string();
+    const bool is_burning_fast =
+        service != nullptr &&
+        service->burn.severity == budget::BurnSeverity::kFast;
+    return is_burning_fast && !is_known_as_good
+               ? m_rollout.service + " burns its budget fast"
+               : std::string();
   }
 
-  void PauseOrGoOn() {
+  /// Pauses, resumes or ends a roll-out that isn't rolling back, and starts its
+  /// next stage when that is due.
+  void UpdateForwardState() {
     const auto found = m_context.fleet().services.find(m_rollout.service);
     if (found == m_context.fleet().services.end()) {
       m_rollout.state = ActState::kHalted;
@@ -241,10 +256,10 @@
     }
     if (IsFinished(m_context, m_rollout)) {
       m_rollout.state = ActState::kDone;
-      m_rollout.reason = LeftOut(m_rollout);
+      m_rollout.reason = SkippedHostsSummary(m_rollout);
       return;
     }
-    WidenStage();
+    AdvanceStageIfDone();
   }
 
   WallTime LastDoneAt() const {
@@ -256,12 +271,12 @@
     return last;
   }
 
-  Millis Bake() const {
+  Millis BakeTime() const {
     return m_rollout.bake > Millis(0) ? m_rollout.bake
                                       : m_context.policy().stage_bake;
   }
 
-  void WidenStage() {
+  void AdvanceStageIfDone() {
     const std::vector<int> targets = StageTargets(m_hosts);
     const int last_stage = static_cast<int>(targets.size()) - 1;
     const int done = static_cast<int>(m_rollout.done.size());
@@ -269,12 +284,13 @@
         done < targets[static_cast<size_t>(m_rollout.stage)]) {
       return;
     }
-    const bool is_baked = m_rollout.stage >= kBakedStages ||
-                          m_context.now() - LastDoneAt() >= Bake();
+    const bool is_baked = m_rollout.stage >= kBakedStageCount ||
+                          m_context.now() - LastDoneAt() >= BakeTime();
     if (!is_baked) {
       return;
     }
-    // A stage that adds no host to the one before isn't watched again.
+    // Skips stages that add no host to the one before: there is nothing new to
+    // watch.
     const int target = targets[static_cast<size_t>(m_rollout.stage)];
     do {
       ++m_rollout.stage;
@@ -288,14 +304,14 @@
   std::vector<const Host*> m_hosts;
 };
 
-/// Hosts that the stage still lets start.
+/// Returns how many more hosts may be drained in the current stage.
 int StageQuota(const PlanContext& context, const Rollout& rollout) {
   const std::vector<int> targets =
       StageTargets(ServiceHosts(context.view(), rollout.service));
   const int last_stage = static_cast<int>(targets.size()) - 1;
-  // The last baked stage opens all zones: their order is kept, but a host of
-  // the next zone may go while the last one of a zone is still away.
-  const bool is_open = rollout.stage >= kBakedStages;
+  // After the baked stages all zones are open. Their order is kept, but hosts
+  // of the next zone may start while the last ones of a zone are still away.
+  const bool is_open = rollout.stage >= kBakedStageCount;
   const int stage = is_open ? last_stage : std::min(rollout.stage, last_stage);
   const size_t started = rollout.done.size() + rollout.active.size();
   return targets[static_cast<size_t>(stage)] - static_cast<int>(started);
@@ -317,9 +333,9 @@
   rollout.started = now;
   rollout.stage_started = now;
   const FleetView view(fleet, {});
-  for (const Host* host : InRolloutOrder(ServiceHosts(view, service))) {
-    const bool has_it = host->version == rollout.version;
-    (has_it ? rollout.done : rollout.pending).push_back(host->id);
+  for (const Host* host : SortInRolloutOrder(ServiceHosts(view, service))) {
+    const bool has_version = host->version == rollout.version;
+    (has_version ? rollout.done : rollout.pending).push_back(host->id);
   }
   return rollout;
 }
@@ -329,26 +345,27 @@
   return StageTargets(ServiceHosts(FleetView(fleet, {}), rollout.service));
 }
 
-void JudgeRollout(PlanContext& context, Rollout& rollout) {
+void UpdateRolloutState(PlanContext& context, Rollout& rollout) {
   const bool is_open = rollout.state == ActState::kRunning ||
                        rollout.state == ActState::kPaused ||
                        rollout.state == ActState::kRollingBack;
   if (is_open) {
-    RolloutJudge(context, rollout).Judge();
+    RolloutUpdater(context, rollout).Update();
   }
 }
 
 void StartRolloutDrains(PlanContext& context, const Rollout& rollout) {
-  const bool is_back = rollout.state == ActState::kRollingBack;
-  if (rollout.state != ActState::kRunning && !is_back) {
+  const bool is_rolling_back = rollout.state == ActState::kRollingBack;
+  if (rollout.state != ActState::kRunning && !is_rolling_back) {
     return;
   }
   DrainRequest request{
       .reason = DrainReason::kRollout, .act = rollout.id, .move_to = {}};
   std::vector<const Host*> candidates = DrainCandidates(context, rollout);
   int quota = static_cast<int>(candidates.size());
-  if (is_back) {
-    // Taking the bad version back is what ends the burn.
+  if (is_rolling_back) {
+    // Removing the bad version is what ends the burn, so the burn must not
+    // block it.
     request.gate = budget::BurnGate::kIgnore;
   } else {
     quota = StageQuota(context, rollout);
@@ -371,8 +388,8 @@
   const FleetView view(fleet, policy);
   PlanContext context(view, budget, input, policy);
   RolloutStep step{.actions = {}, .rollout = rollout};
-  JudgeRollout(context, step.rollout);
-  ActStates acts;
+  UpdateRolloutState(context, step.rollout);
+  UpdatedActs acts;
   acts.rollouts[step.rollout.id] = &step.rollout;
   AdvanceHosts(context, acts, step.rollout.id);
   StartRolloutDrains(context, step.rollout);
--- a/packages/planning/src/schedule.cc
+++ b/packages/planning/src/schedule.cc
@@ -13,19 +13,20 @@
 using model::Wave;
 
 constexpr Millis kDay = std::chrono::hours(24);
-constexpr std::string_view kIdPrefix = "period-";
+constexpr std::string_view kPeriodicWavePrefix = "period-";
 
-Millis Share(Millis period, double share) {
+Millis FractionOf(Millis period, double share) {
   return Millis(static_cast<int64_t>(
       std::llround(static_cast<double>(period.count()) * share)));
 }
 
-/// Picks the hosts of one pool that are due, the longest waiting first.
-class DueHosts {
+/// Picks the hosts of one pool whose maintenance is to start now. Those that
+/// were maintained longest ago take precedence; the result is in domain order.
+class DueHostPicker {
  public:
-  DueHosts(const PlanContext& context,
-           const model::Pool& pool,
-           const Wave* previous)
+  DueHostPicker(const PlanContext& context,
+                const model::Pool& pool,
+                const Wave* previous)
       : m_context(context), m_pool(pool), m_previous(previous) {}
 
   std::vector<const Host*> Pick() {
@@ -36,11 +37,12 @@
                            ? a->last_maintained < b->last_maintained
                            : DomainLess(*a, *b);
               });
-    const int now_due = std::min(NeededNow(), Pace() - m_done_lately);
+    const int max_starts =
+        std::min(MinStartsNow(), MaxStartsToday() - m_maintained_in_last_day);
     std::vector<const Host*> picked;
     for (const Host* host : m_candidates) {
-      const bool has_quota = static_cast<int>(picked.size()) < now_due;
-      if (has_quota || TimeLeft(*host) <= Millis(0)) {
+      const bool has_quota = static_cast<int>(picked.size()) < max_starts;
+      if (has_quota || TimeUntilMandatory(*host) <= Millis(0)) {
         picked.push_back(host);
       }
     }
@@ -54,20 +56,21 @@
     return m_context.now() - host.last_maintained;
   }
 
-  /// Until the host has to go whatever the quota says.
-  Millis TimeLeft(const Host& host) const {
-    const double lead = m_context.policy().schedule_lead;
-    return Share(m_pool.maintenance_period, 1 - lead) - Age(host);
+  /// Time until the host's maintenance must start regardless of the quota.
+  Millis TimeUntilMandatory(const Host& host) const {
+    const double mandatory_share = m_context.policy().schedule_lead;
+    return FractionOf(m_pool.maintenance_period, 1 - mandatory_share) -
+           Age(host);
   }
 
-  /// Hosts that must start now for the quota to be enough for those that are
-  /// due later; the candidates are in the order in which they are due.
-  int NeededNow() const {
+  /// Number of hosts that must start now so that the daily quota suffices for
+  /// those that are due later. Relies on the candidates' order by due time.
+  int MinStartsNow() const {
     int needed = 0;
     int due = 0;
     for (const Host* host : m_candidates) {
       ++due;
-      const auto days_left = TimeLeft(*host) / kDay;
+      const auto days_left = TimeUntilMandatory(*host) / kDay;
       const auto startable_later =
           DailyQuota() * std::max<int64_t>(0, days_left);
       needed = std::max(needed, due - static_cast<int>(startable_later));
@@ -75,7 +78,7 @@
     return needed;
   }
 
-  bool WasJustGivenUp(const Host& host) const {
+  bool WasGivenUpInLastDay(const Host& host) const {
     return m_previous != nullptr &&
            m_context.now() - m_previous->started < kDay &&
            std::count(m_previous->given_up.begin(), m_previous->given_up.end(),
@@ -83,36 +86,40 @@
   }
 
   void CollectCandidates() {
-    const Millis rest =
-        Share(m_pool.maintenance_period, m_context.policy().schedule_rest);
+    const Millis min_age =
+        FractionOf(m_pool.maintenance_period, m_context.policy().schedule_rest);
     for (const Host* host : m_context.view().PoolHosts(m_pool.name)) {
       ++m_hosts;
-      m_done_lately += Age(*host) < kDay;
-      if (IsFree(*host) && Age(*host) >= rest && !WasJustGivenUp(*host)) {
+      m_maintained_in_last_day += Age(*host) < kDay;
+      if (IsFree(*host) && Age(*host) >= min_age &&
+          !WasGivenUpInLastDay(*host)) {
         m_candidates.push_back(host);
       }
     }
   }
 
-  /// Hosts to start on a day: more than the quota if it has become too small
-  /// for those that are due, so that they aren't left for the last day.
-  int Pace() const {
+  /// Number of hosts that may start on one day. It exceeds the daily quota when
+  /// that is too small for the due hosts, so that they don't pile up on the
+  /// last day.
+  int MaxStartsToday() const {
     int pace = DailyQuota();
     int due = 0;
     for (const Host* host : m_candidates) {
       ++due;
-      const auto days_left = std::max<int64_t>(1, TimeLeft(*host) / kDay);
+      const auto days_left =
+          std::max<int64_t>(1, TimeUntilMandatory(*host) / kDay);
       const auto per_day = (due + days_left - 1) / days_left;
       pace = std::max(pace, static_cast<int>(per_day));
     }
     return pace;
   }
 
-  /// Hosts that start on one day if all are spread over the period.
+  /// Number of hosts to start per day to spread all of them evenly over the
+  /// policy's share of the period.
   int DailyQuota() const {
-    const Millis spread =
-        Share(m_pool.maintenance_period, m_context.policy().schedule_spread);
-    const double days = std::max(1.0, static_cast<double>(spread.count()) /
+    const Millis spread_time = FractionOf(m_pool.maintenance_period,
+                                          m_context.policy().schedule_spread);
+    const double days = std::max(1.0, static_cast<double>(spread_time.count()) /
                                           static_cast<double>(kDay.count()));
     return static_cast<int>(std::ceil(m_hosts / days));
   }
@@ -122,48 +129,52 @@
   const Wave* m_previous;
   std::vector<const Host*> m_candidates;
   int m_hosts = 0;
-  int m_done_lately = 0;
+  int m_maintained_in_last_day = 0;
 };
 
-/// What is known of one pool's waves.
+/// What the schedule needs to know of a pool's existing waves.
 struct PoolWaves {
-  bool is_busy = false;          ///< A wave runs, or has halted.
-  const Wave* latest = nullptr;  ///< Of the standing ones.
+  bool has_unfinished_wave = false;       ///< A wave is running or paused, or a
+                                          ///< periodic one has halted.
+  const Wave* latest_periodic = nullptr;  ///< The periodic wave started last.
 };
 
-bool IsStanding(const Wave& wave) {
-  return wave.id.starts_with(kIdPrefix) && wave.pools.size() == 1;
+/// Whether the wave was created by this schedule.
+bool IsPeriodic(const Wave& wave) {
+  return wave.id.starts_with(kPeriodicWavePrefix) && wave.pools.size() == 1;
 }
 
-std::map<std::string_view, PoolWaves> ReadWaves(const model::Fleet& fleet) {
+std::map<std::string_view, PoolWaves> CollectWavesByPool(
+    const model::Fleet& fleet) {
   std::map<std::string_view, PoolWaves> pools;
   for (const auto& [id, wave] : fleet.waves) {
     const bool is_open =
         wave.state == ActState::kRunning || wave.state == ActState::kPaused;
-    const bool has_halted = wave.state == ActState::kHalted && IsStanding(wave);
+    const bool has_halted = wave.state == ActState::kHalted && IsPeriodic(wave);
     for (const std::string& pool : wave.pools) {
       PoolWaves& waves = pools[pool];
-      waves.is_busy |= is_open || has_halted;
+      waves.has_unfinished_wave |= is_open || has_halted;
       const bool is_later =
-          IsStanding(wave) &&
-          (waves.latest == nullptr || waves.latest->started < wave.started);
-      waves.latest = is_later ? &wave : waves.latest;
+          IsPeriodic(wave) && (waves.latest_periodic == nullptr ||
+                               waves.latest_periodic->started < wave.started);
+      waves.latest_periodic = is_later ? &wave : waves.latest_periodic;
     }
   }
   return pools;
 }
 
-/// One standing wave of a pool a day: a second leader makes the same one.
-std::string StandingId(const std::string& pool, WallTime now) {
-  return std::string(kIdPrefix) + pool + "-" +
+/// Returns the id of the pool's periodic wave of a day. It depends on nothing
+/// else, so that a second leader creates the same wave.
+std::string PeriodicWaveId(const std::string& pool, WallTime now) {
+  return std::string(kPeriodicWavePrefix) + pool + "-" +
          std::to_string(now.time_since_epoch() / kDay);
 }
 
-Wave MakeWave(const std::string& pool,
-              const std::vector<const Host*>& due,
-              WallTime now) {
+Wave MakePeriodicWave(const std::string& pool,
+                      const std::vector<const Host*>& due,
+                      WallTime now) {
   Wave wave;
-  wave.id = StandingId(pool, now);
+  wave.id = PeriodicWaveId(pool, now);
   wave.pools = {pool};
   wave.started = now;
   wave.finish_by = now + kDay;
@@ -175,22 +186,22 @@
 
 }  // namespace
 
-std::vector<Wave> ScheduleWavesIn(const PlanContext& context) {
-  const std::map<std::string_view, PoolWaves> known =
-      ReadWaves(context.fleet());
+std::vector<Wave> ScheduleWavesForStep(const PlanContext& context) {
+  const std::map<std::string_view, PoolWaves> waves_by_pool =
+      CollectWavesByPool(context.fleet());
   std::vector<Wave> waves;
   for (const auto& [name, pool] : context.fleet().pools) {
-    const auto found = known.find(name);
-    const PoolWaves of_pool =
-        found == known.end() ? PoolWaves() : found->second;
-    const std::string id = StandingId(name, context.now());
-    if (of_pool.is_busy || context.fleet().waves.contains(id)) {
+    const auto found = waves_by_pool.find(name);
+    const PoolWaves pool_waves =
+        found == waves_by_pool.end() ? PoolWaves() : found->second;
+    const std::string id = PeriodicWaveId(name, context.now());
+    if (pool_waves.has_unfinished_wave || context.fleet().waves.contains(id)) {
       continue;
     }
     const std::vector<const Host*> due =
-        DueHosts(context, pool, of_pool.latest).Pick();
+        DueHostPicker(context, pool, pool_waves.latest_periodic).Pick();
     if (!due.empty()) {
-      waves.push_back(MakeWave(name, due, context.now()));
+      waves.push_back(MakePeriodicWave(name, due, context.now()));
     }
   }
   return waves;
@@ -202,7 +213,7 @@
   const FleetView view(fleet, policy);
   budget::Budget budget =
       budget::Budget::Evaluate(fleet, input.burn, policy.budget);
-  return ScheduleWavesIn(PlanContext(view, budget, input, policy));
+  return ScheduleWavesForStep(PlanContext(view, budget, input, policy));
 }
 
 }  // namespace laurelhall::planning
--- a/packages/planning/src/wave.cc
+++ b/packages/planning/src/wave.cc
@@ -36,8 +36,8 @@
 
 namespace {
 
-std::vector<std::string> HostsOf(const PlanContext& context,
-                                 const std::vector<std::string>& pools) {
+std::vector<std::string> HostIdsOf(const PlanContext& context,
+                                   const std::vector<std::string>& pools) {
   std::vector<std::string> ids;
   for (const std::string& pool : pools) {
     for (const Host* host : context.view().PoolHosts(pool)) {
@@ -49,7 +49,7 @@
 
 }  // namespace
 
-void JudgeWave(PlanContext& context, Wave& wave) {
+void UpdateWaveState(PlanContext& context, Wave& wave) {
   const bool is_open =
       wave.state == ActState::kRunning || wave.state == ActState::kPaused;
   if (!is_open) {
@@ -58,7 +58,7 @@
   ProgressReader<Wave> reader(context, wave, [&wave](const Host& host) {
     return host.last_maintained >= wave.started;
   });
-  reader.KeepOnly(HostsOf(context, wave.pools));
+  reader.RestrictTo(HostIdsOf(context, wave.pools));
   reader.Read({});
   if (wave.is_held) {
     wave.state = ActState::kPaused;
@@ -73,21 +73,24 @@
   }
   wave.reason = PauseReason(context, wave.pools);
   wave.state = wave.reason.empty() ? ActState::kRunning : ActState::kPaused;
-  // Not while it pauses: what has just failed may be most of what is left.
+  // A paused wave doesn't end: most of the remaining hosts may just have failed
+  // and may yet come back.
   if (wave.state == ActState::kRunning && IsFinished(context, wave)) {
     wave.state = ActState::kDone;
-    wave.reason = LeftOut(wave);
+    wave.reason = SkippedHostsSummary(wave);
   }
 }
 
 namespace {
 
-/// Whether a wave's time is enough for its hosts to go one after the other.
-bool HasTime(const PlanContext& context, const Wave& wave) {
+/// Whether a wave could maintain its hosts one after the other by its
+/// `finish_by`.
+bool HasTimeToSpare(const PlanContext& context, const Wave& wave) {
   if (wave.finish_by == WallTime()) {
     return false;
   }
-  // As long as a host may take: its drain's bound and its return's.
+  // The longest that a host may take: its drain timeout plus the return
+  // timeout.
   Millis needed{0};
   for (const auto* list : {&wave.pending, &wave.active, &wave.postponed}) {
     for (const std::string& id : *list) {
@@ -99,20 +102,21 @@
   return context.now() + needed < wave.finish_by;
 }
 
-/// Hosts of one pool that a wave may drain now without taking the pool below
-/// its target by more than one.
-int UnhurriedQuota(const PlanContext& context, const std::string& pool) {
+/// Returns how many hosts of a pool a wave with time to spare may drain now.
+/// These are the pool's free hosts above its target, or one if there are none
+/// and no host of the pool belongs to an act.
+int SlowPaceQuota(const PlanContext& context, const std::string& pool) {
   const auto found = context.fleet().pools.find(pool);
   if (found == context.fleet().pools.end()) {
     return 0;
   }
   int spare = -found->second.target_hosts;
-  bool is_one_away = false;
+  bool is_any_claimed = false;
   for (const Host* host : context.view().PoolHosts(pool)) {
     spare += IsFree(*host) && !context.IsTouched(*host);
-    is_one_away |= !host->act.empty();
+    is_any_claimed |= !host->act.empty();
   }
-  return std::max(spare, is_one_away ? 0 : 1);
+  return std::max(spare, is_any_claimed ? 0 : 1);
 }
 
 }  // namespace
@@ -121,18 +125,18 @@
   if (wave.state != ActState::kRunning) {
     return;
   }
-  const bool has_time = HasTime(context, wave);
+  const bool has_time_to_spare = HasTimeToSpare(context, wave);
   std::map<std::string_view, int> quotas;
   const DrainRequest request{
       .reason = DrainReason::kMaintenance, .act = wave.id, .move_to = {}};
   for (const Host* host : DrainCandidates(context, wave)) {
-    if (!has_time) {
+    if (!has_time_to_spare) {
       context.Drain(*host, request, "maintenance is due");
       continue;
     }
     const auto [quota, is_new] = quotas.try_emplace(host->pool, 0);
     if (is_new) {
-      quota->second = UnhurriedQuota(context, host->pool);
+      quota->second = SlowPaceQuota(context, host->pool);
     }
     const bool is_started = quota->second > 0 &&
                             context.Drain(*host, request, "maintenance is due");
@@ -148,8 +152,8 @@
   const FleetView view(fleet, policy);
   PlanContext context(view, budget, input, policy);
   WaveStep step{.actions = {}, .wave = wave};
-  JudgeWave(context, step.wave);
-  ActStates acts;
+  UpdateWaveState(context, step.wave);
+  UpdatedActs acts;
   acts.waves[step.wave.id] = &step.wave;
   AdvanceHosts(context, acts, step.wave.id);
   StartWaveDrains(context, step.wave);
