--- a/packages/planning/src/act_progress_p.h
+++ b/packages/planning/src/act_progress_p.h
@@ -43,11 +43,11 @@
 
   ProgressReader(const PlanContext& context, WaveOrRollout& act, IsDone is_done)
       : m_context(context),
-        m_before(act),
+        m_committed(act),
         m_act(act),
         m_is_done(std::move(is_done)),
-        m_postponed(m_before.postponed.begin(), m_before.postponed.end()),
-        m_given_up(m_before.given_up.begin(), m_before.given_up.end()) {}
+        m_postponed(m_committed.postponed.begin(), m_committed.postponed.end()),
+        m_given_up(m_committed.given_up.begin(), m_committed.given_up.end()) {}
 
   /// Makes Read() drop hosts that neither are among these nor are being
   /// drained for the act: they moved to pools that it doesn't cover.
@@ -66,8 +66,8 @@
     // Active hosts come before pending ones, so that a host whose drain was
     // cancelled is the first to be tried again.
     for (const auto* list :
-         {&m_before.done, &m_before.active, &m_before.pending,
-          &m_before.postponed, &m_before.given_up, &members}) {
+         {&m_committed.done, &m_committed.active, &m_committed.pending,
+          &m_committed.postponed, &m_committed.given_up, &members}) {
       for (const std::string& id : *list) {
         AddToList(id);
       }
@@ -88,6 +88,7 @@
     ListFor(*host).push_back(host->id);
   }
 
+  /// Whether RestrictTo() excludes the host.
   bool IsOutOfScope(const model::Host& host) const {
     return m_members && !m_members->count(host.id) && host.act != m_act.id;
   }
@@ -122,7 +123,7 @@
   }
 
   const PlanContext& m_context;
-  const WaveOrRollout m_before;
+  const WaveOrRollout m_committed;  ///< The act before Read().
   WaveOrRollout& m_act;
   IsDone m_is_done;
   std::set<std::string_view> m_postponed;
--- a/packages/planning/src/host_progress.cc
+++ b/packages/planning/src/host_progress.cc
@@ -33,12 +33,14 @@
   }
 }
 
-template <typename Act>
-const Act* FindAct(const std::unordered_map<std::string_view, const Act*>& now,
-                   const std::map<std::string, Act>& committed,
-                   const std::string& id) {
-  const auto changed = now.find(id);
-  if (changed != now.end()) {
+/// Finds a wave or roll-out: as updated in this step, else as committed.
+template <typename WaveOrRollout>
+const WaveOrRollout* FindAct(
+    const std::unordered_map<std::string_view, const WaveOrRollout*>& updated,
+    const std::map<std::string, WaveOrRollout>& committed,
+    const std::string& id) {
+  const auto changed = updated.find(id);
+  if (changed != updated.end()) {
     return changed->second;
   }
   const auto found = committed.find(id);
--- a/packages/planning/src/lifecycle.cc
+++ b/packages/planning/src/lifecycle.cc
@@ -34,6 +34,7 @@
     machine.m_state = kState;
   }
 };
+
 /// State of a new machine, before Restore.
 struct Initial : msm::front::state<> {};
 
@@ -166,14 +167,14 @@
       NextStatesByEvent<kFromIndices>(std::make_index_sequence<kEvents>())...};
 }
 
-const NextStateTable& TransitionTable() {
+const NextStateTable& LookupTable() {
   static const NextStateTable table =
       MakeTable(std::make_index_sequence<kStates>());
   return table;
 }
 
-template <typename Enum>
 /// Returns the enumerator's name without its leading `k`.
+template <typename Enum>
 std::string EnumName(Enum value) {
   return std::string(boost::describe::enum_to_string(value, "kUnknown") + 1);
 }
@@ -270,7 +271,7 @@
       reason_index >= kReasons) {
     return std::nullopt;
   }
-  return TransitionTable()[from_index][event_index][reason_index];
+  return LookupTable()[from_index][event_index][reason_index];
 }
 
 std::optional<model::Host> ApplyTransition(const model::Host& host,
@@ -302,7 +303,7 @@
       "| from | event | to | drain reason |\n|---|---|---|---|\n";
   for (size_t from = 0; from < kStates; ++from) {
     for (size_t event = 0; event < kEvents; ++event) {
-      const ByReason& by_reason = TransitionTable()[from][event];
+      const ByReason& by_reason = LookupTable()[from][event];
       const OptionalState next = FirstAllowed(by_reason);
       if (!next) {
         continue;
--- a/packages/planning/src/planning_p.h
+++ b/packages/planning/src/planning_p.h
@@ -130,7 +130,7 @@
 /// Whether this is a reason for which planning, not an operator, starts drains.
 bool IsPlannedReason(model::DrainReason reason);
 
-/// Whether the capacity is at least the pool's host shape in each resource.
+/// Whether the capacity is at least that of the shape in each resource.
 bool FitsShape(const model::Resources& capacity, const model::Resources& shape);
 
 /// Orders hosts by zone, rack, id.
@@ -157,6 +157,7 @@
 void UpdateWaveState(PlanContext& context, model::Wave& wave);
 void StartWaveDrains(PlanContext& context, const model::Wave& wave);
 
+/// As UpdateWaveState(); may also start a rollback or the next stage.
 void UpdateRolloutState(PlanContext& context, model::Rollout& rollout);
 void StartRolloutDrains(PlanContext& context, const model::Rollout& rollout);
 
--- a/packages/planning/src/rollout.cc
+++ b/packages/planning/src/rollout.cc
@@ -47,7 +47,7 @@
 }
 
 /// Orders hosts zone by zone, the smallest zone first, so that a bad version
-/// reaches the fewest hosts of a zone first.
+/// hits the smallest zone first.
 std::vector<const Host*> SortInRolloutOrder(std::vector<const Host*> hosts) {
   const std::map<std::string, int> zones = CountZones(hosts);
   std::sort(hosts.begin(), hosts.end(), [&](const Host* a, const Host* b) {
@@ -90,8 +90,8 @@
 
 /// Request outcomes summed over the hosts of each version.
 struct VersionOutcomes {
-  HostOutcomes with_new;
-  HostOutcomes with_old;
+  HostOutcomes new_version;
+  HostOutcomes old_version;
 };
 
 void AddOutcomes(HostOutcomes& sum, const HostOutcomes& outcomes) {
@@ -188,7 +188,7 @@
     return true;
   }
 
-  VersionOutcomes Outcomes() const {
+  VersionOutcomes OutcomesByVersion() const {
     VersionOutcomes sums;
     for (const Host* host : m_hosts) {
       const auto found = m_context.input().outcomes.find(host->id);
@@ -196,7 +196,7 @@
         continue;
       }
       const bool is_new = host->version == m_rollout.version;
-      AddOutcomes(is_new ? sums.with_new : sums.with_old, found->second);
+      AddOutcomes(is_new ? sums.new_version : sums.old_version, found->second);
     }
     return sums;
   }
@@ -214,21 +214,22 @@
       return {};
     }
     const PlanningPolicy& policy = m_context.policy();
-    const VersionOutcomes sums = Outcomes();
-    const double with_new = ErrorShare(sums.with_new);
-    const double with_old = ErrorShare(sums.with_old);
+    const VersionOutcomes sums = OutcomesByVersion();
+    const double new_error_share = ErrorShare(sums.new_version);
+    const double old_error_share = ErrorShare(sums.old_version);
     const bool has_enough_requests =
-        RequestCount(sums.with_new) >= policy.compare_requests;
+        RequestCount(sums.new_version) >= policy.compare_requests;
     if (has_enough_requests &&
-        with_new > with_old * policy.error_ratio + policy.error_margin) {
+        new_error_share >
+            old_error_share * policy.error_ratio + policy.error_margin) {
       return "hosts with " + m_rollout.version + " fail " +
-             std::to_string(sums.with_new.bad) + " of " +
-             std::to_string(RequestCount(sums.with_new)) + " requests";
+             std::to_string(sums.new_version.bad) + " of " +
+             std::to_string(RequestCount(sums.new_version)) + " requests";
     }
     const bool is_known_as_good =
         has_enough_requests &&
-        RequestCount(sums.with_old) >= policy.compare_requests &&
-        with_new <= with_old;
+        RequestCount(sums.old_version) >= policy.compare_requests &&
+        new_error_share <= old_error_share;
     const budget::ServiceBudget* service =
         m_context.budget().Find(m_rollout.service);
     const bool is_burning_fast =
--- a/packages/planning/src/schedule.cc
+++ b/packages/planning/src/schedule.cc
@@ -37,11 +37,11 @@
                            ? a->last_maintained < b->last_maintained
                            : DomainLess(*a, *b);
               });
-    const int max_starts =
+    const int start_quota =
         std::min(MinStartsNow(), MaxStartsToday() - m_maintained_in_last_day);
     std::vector<const Host*> picked;
     for (const Host* host : m_candidates) {
-      const bool has_quota = static_cast<int>(picked.size()) < max_starts;
+      const bool has_quota = static_cast<int>(picked.size()) < start_quota;
       if (has_quota || TimeUntilMandatory(*host) <= Millis(0)) {
         picked.push_back(host);
       }
@@ -102,16 +102,16 @@
   /// that is too small for the due hosts, so that they don't pile up on the
   /// last day.
   int MaxStartsToday() const {
-    int pace = DailyQuota();
+    int max_starts = DailyQuota();
     int due = 0;
     for (const Host* host : m_candidates) {
       ++due;
       const auto days_left =
           std::max<int64_t>(1, TimeUntilMandatory(*host) / kDay);
       const auto per_day = (due + days_left - 1) / days_left;
-      pace = std::max(pace, static_cast<int>(per_day));
+      max_starts = std::max(max_starts, static_cast<int>(per_day));
     }
-    return pace;
+    return max_starts;
   }
 
   /// Number of hosts to start per day to spread all of them evenly over the
--- a/packages/planning/src/wave.cc
+++ b/packages/planning/src/wave.cc
@@ -73,8 +73,8 @@
   }
   wave.reason = PauseReason(context, wave.pools);
   wave.state = wave.reason.empty() ? ActState::kRunning : ActState::kPaused;
-  // A paused wave doesn't end: most of the remaining hosts may just have failed
-  // and may yet come back.
+  // A paused wave doesn't end: most of the remaining hosts may just have
+  // failed.
   if (wave.state == ActState::kRunning && IsFinished(context, wave)) {
     wave.state = ActState::kDone;
     wave.reason = SkippedHostsSummary(wave);
@@ -104,7 +104,8 @@
 
 /// Returns how many hosts of a pool a wave with time to spare may drain now.
 /// These are the pool's free hosts above its target, or one if there are none
-/// and no host of the pool belongs to an act.
+/// and no host of the pool belongs to an act, so that the pool goes at most one
+/// host below its target.
 int SlowPaceQuota(const PlanContext& context, const std::string& pool) {
   const auto found = context.fleet().pools.find(pool);
   if (found == context.fleet().pools.end()) {
