--- a/packages/planning/src/planning_p.h
+++ b/packages/planning/src/planning_p.h
@@ -12,7 +12,8 @@
 
 namespace laurelhall::planning {
 
-/// A rack or availability zone of which more than half the hosts failed.
+/// A rack or availability zone of which more than half the hosts, and at least
+/// PlanningPolicy::domain_down_hosts, have failed.
 struct DownDomain {
   std::string name;
   int hosts = 0;
