--- a/packages/planning/include/laurelhall/planning/buffer.h
+++ b/packages/planning/include/laurelhall/planning/buffer.h
@@ -5,84 +5,99 @@
 
 #include "laurelhall/model/fleet.h"
 
-// How many hosts are held in reserve, for what, and what that costs.
+// Sizes the host reserve that covers maintenance and the loss of hosts, and
+// counts the hosts that each guarantee costs.
 namespace laurelhall::planning {
 
-/// What the reserve is sized for.
+/// The losses that the reserve must cover.
 struct BufferPolicy {
-  /// Hosts that fail on a day, per host; a deployment's own record.
+  /// Failures per host and day, from the deployment's records.
   double failures_per_host_day = 17.0 / 1900;
   Millis repair_time{std::chrono::hours(4)};
-  /// Chance that more hosts have failed at once than the reserve is for.
-  double shortfall_chance = 0.001;
+  /// Accepted probability that more hosts are failed at once than the reserve
+  /// covers.
+  double shortfall_probability = 0.001;
+  /// Time that one host is away for its maintenance.
   Millis maintenance_time{std::chrono::hours(1)};
-  /// Whether the wave's hosts are covered beside a rack's loss or failures.
+  /// Whether the hosts in maintenance are covered in addition to the loss of a
+  /// domain or to single failures.
   bool wave_guarantee = true;
+  /// Whether the loss of the largest rack is covered.
   bool rack_guarantee = true;
+  /// Whether the loss of the largest availability zone is covered.
   bool zone_guarantee = false;
-  /// Whether pools of smaller hosts share the reserve of the pools with larger
-  /// ones. Fewer hosts, but the smaller pools have none of their own and are
-  /// below target while a host of theirs is in maintenance.
+  /// Whether pools of smaller hosts share the reserve of pools with larger
+  /// hosts. This takes fewer hosts, but the smaller pools have no reserve of
+  /// their own and are below target while one of their hosts is in maintenance.
   bool across_shapes = false;
 };
 
-/// A pool's own reserve, for what can't wait for a host to move in.
+/// A pool's own reserve, which covers losses without waiting for a host to be
+/// moved from another pool.
 struct PoolBuffer {
   std::string pool;
-  std::string group;     ///< The pools that it shares a reserve with.
-  int target_hosts = 0;  ///< Without reserve.
-  int members = 0;
-  int largest_rack = 0;
-  int largest_zone = 0;
-  int own = 0;  ///< Hosts that the pool itself must have over its target.
+  std::string group;     ///< Name of the BufferGroup that the pool is in.
+  int target_hosts = 0;  ///< Hosts that the pool needs, without reserve.
+  int members = 0;       ///< Hosts that are in the pool now.
+  int largest_rack = 0;  ///< The pool's hosts in its largest rack.
+  int largest_zone = 0;  ///< The pool's hosts in its largest zone.
+  int own = 0;           ///< Hosts that the pool must have above its target.
 };
 
-/// Pools of one region whose hosts fit, which lend each other hosts.
+/// Pools of one region that lend each other hosts, since the shapes fit. A pool
+/// that may not lend forms a group of its own.
 struct BufferGroup {
   std::string name;
   std::vector<std::string> pools;
-  std::vector<std::string> reserve_pools;  ///< Whose hosts fit all the others.
+  /// Pools whose hosts fit every pool of the group.
+  std::vector<std::string> reserve_pools;
   int hosts = 0;
   int largest_rack = 0;
   int largest_zone = 0;
-  int wave = 0;      ///< Hosts away for maintenance at the needed pace.
-  int failures = 0;  ///< Hosts failed at once but for the shortfall chance.
-  int shared = 0;    ///< Hosts to hold in reserve for the whole group.
+  /// Hosts in maintenance at once at the pace that the schedule needs.
+  int wave = 0;
+  /// Failed hosts at once, exceeded with at most shortfall_probability.
+  int failures = 0;
+  /// Hosts to hold in reserve for the whole group, besides the pools' own.
+  int shared = 0;
 };
 
 enum class Guarantee { kWave, kFailures, kRack, kZone, kCount };
 BOOST_DESCRIBE_ENUM(Guarantee, kWave, kFailures, kRack, kZone)
 
-/// What one guarantee adds to the reserve, all others being kept.
+/// The hosts that the reserve would shrink by without one guarantee, with all
+/// other guarantees kept.
 struct GuaranteeCost {
   Guarantee guarantee = Guarantee::kCount;
-  int shared = 0;    ///< Hosts, with the reserve shared.
-  int per_pool = 0;  ///< Hosts, if each pool kept its own.
+  int shared = 0;    ///< Hosts, if the pools of a group share a reserve.
+  int per_pool = 0;  ///< Hosts, if each pool has a reserve of its own.
 };
 
 struct BufferPlan {
   std::vector<PoolBuffer> pools;
   std::vector<BufferGroup> groups;
   std::vector<GuaranteeCost> guarantees;
-  int total = 0;  ///< Cost in hosts: own and shared.
-  /// The same guarantees with no pool lending to another.
+  int total = 0;  ///< Reserve hosts of all pools, own and shared.
+  /// Reserve hosts for the same guarantees if no pool lent to another.
   int per_pool_total = 0;
-  /// One spare host in each pool, which guarantees no rack.
+  /// Reserve hosts with one spare in each pool, which doesn't cover a rack.
   int n_plus_one_total = 0;
-  /// Least that survives the largest rack of each group.
+  /// The fewest reserve hosts that cover the largest rack of each group.
   int lower_bound = 0;
 };
 
-/// Sizes the reserve of each pool and of the pools that share one.
+/// Sizes the reserve of each pool and of each group of pools that share one.
 ///
-/// @remarks Thread-safe. Pools share where they are in the same region, may
-///   lend and have hosts of the same shape, or as across_shapes says. A rack's
-///   loss and single failures are taken as two cases, the larger of which
-///   counts: the wave that is under way pauses for either.
+/// @remarks Thread-safe. Pools share a reserve if they are in the same region,
+///   may lend and have hosts of the same shape; with across_shapes the larger
+///   shape's reserve serves the smaller shapes too. The loss of a rack or zone
+///   and single failures aren't added up: the larger of them counts, since a
+///   wave under way pauses for either.
 BufferPlan PlanBuffers(const model::Fleet& fleet,
                        const BufferPolicy& policy = {});
 
-/// The least n with P(Poisson(mean) > n) <= `chance`. Thread-safe.
-int PoissonBound(double mean, double chance);
+/// Returns the least n with P(Poisson(mean) > n) <= `tail_probability`.
+/// Thread-safe.
+int PoissonQuantile(double mean, double tail_probability);
 
 }  // namespace laurelhall::planning
--- a/packages/planning/include/laurelhall/planning/plan.h
+++ b/packages/planning/include/laurelhall/planning/plan.h
@@ -8,71 +8,80 @@
 #include "laurelhall/model/fleet.h"
 #include "laurelhall/planning/lifecycle.h"
 
-// What planning is given besides the fleet, and what it answers.
+// The inputs of planning besides the fleet, its policy and its results.
 namespace laurelhall::planning {
 
-/// A planned transition and why it is planned, in one line for operators.
+/// A planned transition of one host.
 struct Action {
   Transition transition;
-  std::string why;
+  std::string why;  ///< The reason, in one line for operators.
 };
 
-/// Requests that a host answered since it last became capacity.
+/// Counts of the requests that a host answered since it last became capacity.
 struct HostOutcomes {
-  int64_t good = 0;
-  int64_t bad = 0;
+  int64_t good = 0;  ///< Requests that succeeded.
+  int64_t bad = 0;   ///< Requests that failed.
 };
 BOOST_DESCRIBE_STRUCT(HostOutcomes, (), (good, bad))
 
-/// What is seen of the fleet beside the replicated state.
+/// Observations of the fleet that aren't in the replicated state.
 struct StepInput {
   WallTime now{};
-  /// Requests and jobs in flight by host. A host that isn't in it isn't known
-  /// to be empty, and is never stopped.
+  /// Requests and jobs in flight, by host id. A host without an entry isn't
+  /// known to be empty, and is never stopped.
   std::map<std::string, int> in_flight;
   budget::BurnByService burn;
-  std::map<std::string, HostOutcomes> outcomes;
+  std::map<std::string, HostOutcomes> outcomes;  ///< By host id.
 };
 BOOST_DESCRIBE_STRUCT(StepInput, (), (now, in_flight, burn, outcomes))
 
-/// The bounds that planning works within.
+/// Limits and waiting times of planning.
 struct PlanningPolicy {
   budget::BudgetPolicy budget;
 
-  /// A host in maintenance for longer halts its wave or roll-out.
+  /// A host that is in maintenance for longer halts its wave or roll-out.
   Millis return_timeout{std::chrono::hours(1)};
-  /// Drains of one host that come to nothing before it is given up.
+  /// A wave or roll-out gives up a host after this many drains that didn't
+  /// empty it.
   int max_drain_tries = 3;
-  /// After a rack or zone has gone, acts there wait until nothing has failed
-  /// for so long.
+  /// While a rack or zone is down, waves and roll-outs that it affects wait at
+  /// least until no host there has failed for this time.
   Millis settle{std::chrono::minutes(5)};
-  /// A domain is down when more than half of its hosts, and so many, failed.
-  int domain_down_hosts = 2;
+  /// A rack or zone counts as down if at least this many of its hosts have
+  /// failed and these are more than half of its hosts.
+  int min_failures_of_down_domain = 2;
 
-  /// Share of the period over which a pool's maintenance is spread.
+  /// Share of the pool's maintenance period over which the maintenance of its
+  /// hosts is spread; sets the daily quota.
   double schedule_spread = 0.75;
-  /// Share of the period that a host is left alone after its maintenance.
+  /// Share of the period after a host's maintenance in which it isn't scheduled
+  /// again.
   double schedule_rest = 0.5;
-  /// Share of the period before its end in which a host goes without quota.
+  /// Share of the period, at its end, in which a host is scheduled regardless
+  /// of the daily quota.
   double schedule_lead = 0.125;
 
-  /// Each of the roll-out's first stages is watched for so long.
+  /// Time for which the new version is observed after each of the roll-out's
+  /// first stages, unless the roll-out sets its own.
   Millis stage_bake{std::chrono::minutes(5)};
-  /// Requests of hosts with the new version before they are compared.
+  /// Requests that a version's hosts must have answered before its error share
+  /// is compared.
   int64_t compare_requests = 50;
-  /// Error share of the new version at which it is rolled back: over twice
-  /// that of the old one and a hundredth.
+  /// The new version is rolled back if its error share exceeds that of the old
+  /// version times error_ratio, plus error_margin: by default twice the old
+  /// share plus a hundredth.
   double error_ratio = 2;
   double error_margin = 0.01;
 
-  /// A failed host that may yet come back isn't replaced for so long, unless
-  /// its service is out of budget.
+  /// A failed host may come back and isn't replaced before this time, unless a
+  /// service of its pool is out of budget.
   Millis move_patience{std::chrono::minutes(10)};
-  /// A host that changed its pool stays there for so long.
+  /// A host that changed its pool isn't moved again before this time.
   Millis move_cooldown{std::chrono::hours(24)};
 };
 
-/// Waves and roll-outs that changed, and the actions, in the order to commit.
+/// The waves and roll-outs that a step changed, and the actions to commit in
+/// their order.
 struct StepResult {
   std::vector<Action> actions;
   std::vector<model::Wave> waves;
--- a/packages/planning/include/laurelhall/planning/plan_cost.h
+++ b/packages/planning/include/laurelhall/planning/plan_cost.h
@@ -7,13 +7,13 @@
 
 namespace laurelhall::planning {
 
-/// A plan in the three measures.
+/// The cost of a plan in three measures, and their weighted sum.
 struct PlanCost {
   int buffer_hosts = 0;     ///< Hosts held in reserve.
-  Millis rollout_time{0};   ///< Until the wave or roll-out is done.
+  Millis rollout_time{0};   ///< Time until the wave or roll-out is done.
   int host_moves = 0;       ///< Hosts that change their pool.
-  double buffer_share = 0;  ///< Of the fleet.
-  double move_share = 0;    ///< Of the fleet.
+  double buffer_share = 0;  ///< buffer_hosts ÷ hosts of the fleet.
+  double move_share = 0;    ///< host_moves ÷ hosts of the fleet.
   double weighted = 0;      ///< See CostOf().
 };
 BOOST_DESCRIBE_STRUCT(PlanCost,
@@ -25,17 +25,20 @@
                        move_share,
                        weighted))
 
-/// Weighs the three measures: percent of the fleet in reserve, hours until
-/// done and percent of the fleet moved, each times the deployment's weight.
-/// Thread-safe.
+/// Computes a plan's cost. The weighted cost is the sum of the percentage of
+/// the fleet in reserve, the hours until done and the percentage of the fleet
+/// moved, each times the weight in `fleet.weights`. Thread-safe.
 PlanCost CostOf(const model::Fleet& fleet,
                 int buffer_hosts,
                 Millis rollout_time,
                 int host_moves);
 
-/// Prices what a step would do and what is under way, for dry runs: the hosts
-/// over target, the time that the given pools' wave takes at the allowed
-/// concurrency, and the moves among the actions. Thread-safe.
+/// Computes the cost of a planning step, for dry runs. Thread-safe.
+///
+/// The buffer is the hosts that the pools have above their targets. The time is
+/// the lower bound for a wave over the pools of the step's waves and roll-outs,
+/// at the concurrency that the budgets allow. The moves are those among the
+/// step's actions.
 PlanCost CostOfStep(const model::Fleet& fleet,
                     const StepResult& step,
                     Millis time_per_host,
--- a/packages/planning/src/buffer.cc
+++ b/packages/planning/src/buffer.cc
@@ -13,48 +13,49 @@
 using model::Host;
 using model::Pool;
 
-constexpr double kDayMillis = 24.0 * 3600 * 1000;
+constexpr double kMillisPerDay = 24.0 * 3600 * 1000;
 
-/// A pool, or several that share, as their reserve is sized.
+/// The numbers that set the reserve of one pool, or of several that share one.
 struct Sizing {
   int hosts = 0;
   int largest_rack = 0;
   int largest_zone = 0;
-  int wave = 0;
-  int failures = 0;
-
-  int Need(bool has_wave,
-           bool has_failures,
-           bool has_rack,
-           bool has_zone) const {
-    int lost = has_failures ? failures : 0;
-    lost = std::max(lost, has_rack ? largest_rack : 0);
-    lost = std::max(lost, has_zone ? largest_zone : 0);
-    return lost + (has_wave ? wave : 0);
+  int wave = 0;      ///< Hosts in maintenance at once.
+  int failures = 0;  ///< Failed hosts at once.
+
+  int RequiredReserve(bool covers_wave,
+                      bool covers_failures,
+                      bool covers_rack,
+                      bool covers_zone) const {
+    int lost = covers_failures ? failures : 0;
+    lost = std::max(lost, covers_rack ? largest_rack : 0);
+    lost = std::max(lost, covers_zone ? largest_zone : 0);
+    return lost + (covers_wave ? wave : 0);
   }
 };
 
-/// Which guarantees a sizing is asked for.
-struct Asked {
+/// The guarantees that a reserve must give.
+struct RequiredGuarantees {
   bool wave = true;
   bool failures = true;
   bool rack = true;
   bool zone = false;
 
-  int Of(const Sizing& sizing) const {
-    return sizing.Need(wave, failures, rack, zone);
+  int RequiredReserve(const Sizing& sizing) const {
+    return sizing.RequiredReserve(wave, failures, rack, zone);
   }
 
-  Asked Without(Guarantee guarantee) const {
-    static constexpr bool Asked::*flags[] = {&Asked::wave, &Asked::failures,
-                                             &Asked::rack, &Asked::zone};
-    Asked rest = *this;
-    rest.*flags[static_cast<size_t>(guarantee)] = false;
-    return rest;
+  RequiredGuarantees Without(Guarantee guarantee) const {
+    static constexpr bool RequiredGuarantees::*flags[] = {
+        &RequiredGuarantees::wave, &RequiredGuarantees::failures,
+        &RequiredGuarantees::rack, &RequiredGuarantees::zone};
+    RequiredGuarantees others = *this;
+    others.*flags[static_cast<size_t>(guarantee)] = false;
+    return others;
   }
 };
 
-int Largest(const std::map<std::string, int>& counts) {
+int LargestCount(const std::map<std::string, int>& counts) {
   int largest = 0;
   for (const auto& [name, count] : counts) {
     largest = std::max(largest, count);
@@ -62,9 +63,9 @@
   return largest;
 }
 
-Sizing SizeOf(const std::vector<const Host*>& hosts,
-              Millis period,
-              const BufferPolicy& policy) {
+Sizing ComputeSizing(const std::vector<const Host*>& hosts,
+                     Millis period,
+                     const BufferPolicy& policy) {
   std::map<std::string, int> racks;
   std::map<std::string, int> zones;
   for (const Host* host : hosts) {
@@ -73,17 +74,19 @@
   }
   Sizing sizing;
   sizing.hosts = static_cast<int>(hosts.size());
-  sizing.largest_rack = Largest(racks);
-  sizing.largest_zone = Largest(zones);
-  const double maintained_share =
+  sizing.largest_rack = LargestCount(racks);
+  sizing.largest_zone = LargestCount(zones);
+  const double in_maintenance_share =
       static_cast<double>(policy.maintenance_time.count()) /
       (PlanningPolicy().schedule_spread *
        std::max(1.0, static_cast<double>(period.count())));
-  sizing.wave = static_cast<int>(std::ceil(sizing.hosts * maintained_share));
-  const double failed_at_once =
+  sizing.wave =
+      static_cast<int>(std::ceil(sizing.hosts * in_maintenance_share));
+  const double mean_failed_at_once =
       policy.failures_per_host_day * sizing.hosts *
-      static_cast<double>(policy.repair_time.count()) / kDayMillis;
-  sizing.failures = PoissonBound(failed_at_once, policy.shortfall_chance);
+      static_cast<double>(policy.repair_time.count()) / kMillisPerDay;
+  sizing.failures =
+      PoissonQuantile(mean_failed_at_once, policy.shortfall_probability);
   return sizing;
 }
 
@@ -93,21 +96,21 @@
          std::to_string(shape.accelerators) + "a";
 }
 
-/// Where most of the pool's hosts are.
-std::string RegionOf(const std::vector<const Host*>& hosts) {
+/// Returns the region with most of the hosts, or "" if there are none.
+std::string MainRegion(const std::vector<const Host*>& hosts) {
   std::map<std::string, int> regions;
   for (const Host* host : hosts) {
     ++regions[host->region];
   }
-  std::string most;
+  std::string main_region;
   int count = 0;
   for (const auto& [region, in_region] : regions) {
     if (in_region > count) {
-      most = region;
+      main_region = region;
       count = in_region;
     }
   }
-  return most;
+  return main_region;
 }
 
 class BufferPlanner {
@@ -116,16 +119,16 @@
       : m_fleet(fleet),
         m_policy(policy),
         m_view(fleet, PlanningPolicy()),
-        m_asked{.wave = policy.wave_guarantee,
-                .failures = true,
-                .rack = policy.rack_guarantee,
-                .zone = policy.zone_guarantee} {}
+        m_required{.wave = policy.wave_guarantee,
+                   .failures = true,
+                   .rack = policy.rack_guarantee,
+                   .zone = policy.zone_guarantee} {}
 
   BufferPlan Plan() {
     SizePools();
     SetOwnReserves();
     SizeGroups();
-    SumUp();
+    ComputeTotals();
     return std::move(m_plan);
   }
 
@@ -140,16 +143,17 @@
 
   void SizePools() {
     for (const auto& [name, pool] : m_fleet.pools) {
-      m_shapes[RegionOf(m_view.PoolHosts(name))].push_back(pool.host_shape);
+      m_shapes[MainRegion(m_view.PoolHosts(name))].push_back(pool.host_shape);
     }
     for (const auto& [name, pool] : m_fleet.pools) {
       const auto& hosts = m_view.PoolHosts(name);
-      const model::Resources& shape = ReserveShape(pool, RegionOf(hosts));
+      const model::Resources& shape = ReserveShape(pool, MainRegion(hosts));
       const std::string group = pool.may_lend
-                                    ? RegionOf(hosts) + "/" + ShapeName(shape)
+                                    ? MainRegion(hosts) + "/" + ShapeName(shape)
                                     : "pool " + name;
       AddToGroup(m_groups[group], pool, shape);
-      const Sizing sizing = SizeOf(hosts, pool.maintenance_period, m_policy);
+      const Sizing sizing =
+          ComputeSizing(hosts, pool.maintenance_period, m_policy);
       m_pool_sizings.push_back(sizing);
       m_plan.pools.push_back({.pool = name,
                               .group = group,
@@ -160,7 +164,8 @@
     }
   }
 
-  /// The shape of the reserve that the pool shares.
+  /// Returns the host shape of the reserve that the pool shares: its own, or
+  /// with across_shapes a larger one of its region that also fits the pool.
   const model::Resources& ReserveShape(const Pool& pool,
                                        const std::string& region) const {
     const model::Resources* largest = &pool.host_shape;
@@ -186,36 +191,39 @@
     group.period = std::min(group.period, pool.maintenance_period);
   }
 
-  /// A host that moves in comes too late for the moment of the loss: what a
-  /// service must keep through that, its own pools hold.
+  /// Gives each service's largest pool the reserve that the service needs to
+  /// keep min_available through a loss. A host moved in from another pool would
+  /// arrive too late for that, so the service's own pools must hold it.
   void SetOwnReserves() {
     for (const auto& [name, service] : m_fleet.services) {
       std::vector<const Host*> hosts;
       PoolBuffer* largest = nullptr;
       int target = 0;
       for (PoolBuffer& pool : m_plan.pools) {
-        const bool is_of_service =
+        const bool belongs_to_service =
             std::count(service.pools.begin(), service.pools.end(), pool.pool) >
             0;
-        if (!is_of_service) {
+        if (!belongs_to_service) {
           continue;
         }
-        const auto& of_pool = m_view.PoolHosts(pool.pool);
-        hosts.insert(hosts.end(), of_pool.begin(), of_pool.end());
+        const auto& pool_hosts = m_view.PoolHosts(pool.pool);
+        hosts.insert(hosts.end(), pool_hosts.begin(), pool_hosts.end());
         target += pool.target_hosts;
         if (largest == nullptr || pool.target_hosts > largest->target_hosts) {
           largest = &pool;
         }
       }
       if (largest != nullptr) {
-        const Sizing sizing = SizeOf(hosts, LargestPeriod(service), m_policy);
-        const int lasting = target - m_asked.Of(sizing);
-        largest->own = std::max(largest->own, service.min_available - lasting);
+        const Sizing sizing =
+            ComputeSizing(hosts, LongestPeriod(service), m_policy);
+        const int remaining = target - m_required.RequiredReserve(sizing);
+        largest->own =
+            std::max(largest->own, service.min_available - remaining);
       }
     }
   }
 
-  Millis LargestPeriod(const model::Service& service) const {
+  Millis LongestPeriod(const model::Service& service) const {
     Millis period{0};
     for (const std::string& pool : service.pools) {
       const auto found = m_fleet.pools.find(pool);
@@ -228,20 +236,21 @@
 
   void SizeGroups() {
     for (auto& [name, group] : m_groups) {
-      group.sizing = SizeOf(group.hosts, group.period, m_policy);
-      m_plan.groups.push_back({.name = name,
-                               .pools = group.pools,
-                               .reserve_pools = group.reserve_pools,
-                               .hosts = group.sizing.hosts,
-                               .largest_rack = group.sizing.largest_rack,
-                               .largest_zone = group.sizing.largest_zone,
-                               .wave = group.sizing.wave,
-                               .failures = group.sizing.failures,
-                               .shared = SharedOf(name, group, m_asked)});
+      group.sizing = ComputeSizing(group.hosts, group.period, m_policy);
+      m_plan.groups.push_back(
+          {.name = name,
+           .pools = group.pools,
+           .reserve_pools = group.reserve_pools,
+           .hosts = group.sizing.hosts,
+           .largest_rack = group.sizing.largest_rack,
+           .largest_zone = group.sizing.largest_zone,
+           .wave = group.sizing.wave,
+           .failures = group.sizing.failures,
+           .shared = SharedReserveOf(name, group, m_required)});
     }
   }
 
-  int OwnOf(const std::string& group) const {
+  int OwnReserveOf(const std::string& group) const {
     int own = 0;
     for (const PoolBuffer& pool : m_plan.pools) {
       own += pool.group == group ? pool.own : 0;
@@ -249,47 +258,50 @@
     return own;
   }
 
-  int SharedOf(const std::string& name, const Group& group, Asked asked) const {
-    return std::max(0, asked.Of(group.sizing) - OwnOf(name));
+  int SharedReserveOf(const std::string& name,
+                      const Group& group,
+                      RequiredGuarantees required) const {
+    return std::max(
+        0, required.RequiredReserve(group.sizing) - OwnReserveOf(name));
   }
 
-  int SharedTotal(Asked asked) const {
+  int TotalWithSharing(RequiredGuarantees required) const {
     int total = 0;
     for (const auto& [name, group] : m_groups) {
-      total += SharedOf(name, group, asked) + OwnOf(name);
+      total += SharedReserveOf(name, group, required) + OwnReserveOf(name);
     }
     return total;
   }
 
-  int PerPoolTotal(Asked asked) const {
+  int TotalWithoutSharing(RequiredGuarantees required) const {
     int total = 0;
     for (const Sizing& sizing : m_pool_sizings) {
-      total += asked.Of(sizing);
+      total += required.RequiredReserve(sizing);
     }
     return total;
   }
 
-  void SumUp() {
-    m_plan.total = SharedTotal(m_asked);
-    m_plan.per_pool_total = PerPoolTotal(m_asked);
+  void ComputeTotals() {
+    m_plan.total = TotalWithSharing(m_required);
+    m_plan.per_pool_total = TotalWithoutSharing(m_required);
     m_plan.n_plus_one_total = static_cast<int>(m_fleet.pools.size());
     for (const auto& [name, group] : m_groups) {
       m_plan.lower_bound += group.sizing.largest_rack;
     }
     for (size_t i = 0; i < static_cast<size_t>(Guarantee::kCount); ++i) {
       const auto guarantee = static_cast<Guarantee>(i);
-      const Asked rest = m_asked.Without(guarantee);
+      const RequiredGuarantees others = m_required.Without(guarantee);
       m_plan.guarantees.push_back(
           {.guarantee = guarantee,
-           .shared = m_plan.total - SharedTotal(rest),
-           .per_pool = m_plan.per_pool_total - PerPoolTotal(rest)});
+           .shared = m_plan.total - TotalWithSharing(others),
+           .per_pool = m_plan.per_pool_total - TotalWithoutSharing(others)});
     }
   }
 
   const model::Fleet& m_fleet;
   const BufferPolicy& m_policy;
   const FleetView m_view;
-  const Asked m_asked;
+  const RequiredGuarantees m_required;
   std::map<std::string, std::vector<model::Resources>> m_shapes;  // By region.
   std::map<std::string, Group> m_groups;
   std::vector<Sizing> m_pool_sizings;
@@ -298,17 +310,17 @@
 
 }  // namespace
 
-int PoissonBound(double mean, double chance) {
+int PoissonQuantile(double mean, double tail_probability) {
   double probability = std::exp(-mean);
-  double at_most = probability;
+  double cumulative = probability;
   int count = 0;
-  // For a large mean the first terms vanish; the bound on the loop is for
-  // values that aren't a chance.
-  const int most = static_cast<int>(mean + 20 * std::sqrt(mean + 1)) + 20;
-  while (1 - at_most > chance && count < most) {
+  // For a large mean the first terms underflow. The limit ends the loop for
+  // arguments that aren't a probability.
+  const int max_count = static_cast<int>(mean + 20 * std::sqrt(mean + 1)) + 20;
+  while (1 - cumulative > tail_probability && count < max_count) {
     ++count;
     probability *= mean / count;
-    at_most += probability;
+    cumulative += probability;
   }
   return count;
 }
--- a/packages/planning/src/explain.cc
+++ b/packages/planning/src/explain.cc
@@ -9,20 +9,22 @@
 using model::HostState;
 
 template <typename Enum>
-std::string Name(Enum value) {
+std::string EnumName(Enum value) {
   return boost::describe::enum_to_string(value, "unknown");
 }
 
-/// Gathers the facts about one host.
-class Explainer {
+/// Collects the lines that explain one host's state: its location, its act (a
+/// wave, roll-out or move), what it waits for, the budgets of its services and
+/// its maintenance.
+class HostExplainer {
  public:
-  Explainer(PlanContext& context, const Host& host)
+  HostExplainer(PlanContext& context, const Host& host)
       : m_context(context), m_host(host) {}
 
   std::vector<std::string> Explain() {
-    AddPlace();
+    AddLocation();
     AddAct();
-    AddWait();
+    AddWaitReason();
     AddBudgets();
     AddMaintenance();
     return std::move(m_lines);
@@ -31,8 +33,8 @@
  private:
   void Add(std::string line) { m_lines.push_back(std::move(line)); }
 
-  void AddPlace() {
-    Add("host " + m_host.id + " is " + Name(m_host.state) + " in pool " +
+  void AddLocation() {
+    Add("host " + m_host.id + " is " + EnumName(m_host.state) + " in pool " +
         m_host.pool + " since " + FormatWallTime(m_host.state_since) +
         " (epoch " + std::to_string(m_host.epoch) + ")");
     Add("rack " + m_host.rack + ", availability zone " +
@@ -45,30 +47,30 @@
 
   void AddAct() {
     if (m_host.drain_reason != model::DrainReason::kNone) {
-      Add("leaves for " + Name(m_host.drain_reason) +
+      Add("leaves for " + EnumName(m_host.drain_reason) +
           (m_host.move_to.empty() ? "" : " to pool " + m_host.move_to) +
           (m_host.act.empty() ? "" : " on behalf of " + m_host.act));
     }
     const auto wave = m_context.fleet().waves.find(m_host.act);
     if (wave != m_context.fleet().waves.end()) {
-      Add("wave " + m_host.act + " is " + Name(wave->second.state) +
-          Because(wave->second.reason));
+      Add("wave " + m_host.act + " is " + EnumName(wave->second.state) +
+          ReasonSuffix(wave->second.reason));
     }
     const auto rollout = m_context.fleet().rollouts.find(m_host.act);
     if (rollout != m_context.fleet().rollouts.end()) {
-      Add("roll-out " + m_host.act + " is " + Name(rollout->second.state) +
+      Add("roll-out " + m_host.act + " is " + EnumName(rollout->second.state) +
           ", stage " + std::to_string(rollout->second.stage) +
-          Because(rollout->second.reason));
+          ReasonSuffix(rollout->second.reason));
     }
   }
 
-  static std::string Because(const std::string& reason) {
+  static std::string ReasonSuffix(const std::string& reason) {
     return reason.empty() ? "" : ": " + reason;
   }
 
-  void AddWait() {
+  void AddWaitReason() {
     if (m_host.state == HostState::kDraining) {
-      AddDrainWait();
+      AddDrainWaitReason();
     } else if (m_host.state == HostState::kInMaintenance) {
       Add("waits for the host to return; its act halts after " +
           FormatDuration(m_context.policy().return_timeout));
@@ -78,14 +80,14 @@
     }
   }
 
-  void AddDrainWait() {
+  void AddDrainWaitReason() {
     const auto found = m_context.input().in_flight.find(m_host.id);
     const bool is_known = found != m_context.input().in_flight.end();
     Add(is_known ? "waits for " + std::to_string(found->second) + " in flight"
                  : "waits: it isn't known what is in flight there");
-    const Millis bound = m_context.view().PoolOf(m_host).drain_timeout;
+    const Millis drain_timeout = m_context.view().PoolOf(m_host).drain_timeout;
     Add(IsPlannedReason(m_host.drain_reason)
-            ? "not empty after " + FormatDuration(bound) +
+            ? "not empty after " + FormatDuration(drain_timeout) +
                   ", it goes back to its pool and is tried again later"
             : "drains without a bound, since an operator asked for it");
   }
@@ -141,7 +143,7 @@
   budget::Budget budget =
       budget::Budget::Evaluate(fleet, input.burn, policy.budget);
   PlanContext context(view, budget, input, policy);
-  return Explainer(context, found->second).Explain();
+  return HostExplainer(context, found->second).Explain();
 }
 
 }  // namespace laurelhall::planning
--- a/packages/planning/src/fleet_view.cc
+++ b/packages/planning/src/fleet_view.cc
@@ -11,16 +11,17 @@
 const std::vector<const Host*> kNoHosts;
 const model::Pool kUnknownPool;
 
-const std::vector<const Host*>& Find(
+/// Returns an empty list for an unknown name.
+const std::vector<const Host*>& FindHosts(
     const budget::NameMap<std::vector<const Host*>>& lists,
     std::string_view name) {
   const auto found = lists.find(name);
   return found == lists.end() ? kNoHosts : found->second;
 }
 
-void Append(budget::NameMap<std::vector<const Host*>>& lists,
-            std::string_view name,
-            const Host& host) {
+void AppendHost(budget::NameMap<std::vector<const Host*>>& lists,
+                std::string_view name,
+                const Host& host) {
   auto found = lists.find(name);
   if (found == lists.end()) {
     found = lists.emplace(name, std::vector<const Host*>()).first;
@@ -38,28 +39,29 @@
     if (!is_member) {
       continue;
     }
-    Append(m_by_pool, host.pool, host);
+    AppendHost(m_by_pool, host.pool, host);
     if (!host.act.empty()) {
-      Append(m_by_act, host.act, host);
+      AppendHost(m_by_act, host.act, host);
     }
   }
   FindDownDomains(policy);
 }
 
 void FleetView::FindDownDomains(const PlanningPolicy& policy) {
-  // Only domains with a failed host can be down; most have none.
+  // Lists only domains with a failed host, since no other can be down and most
+  // have none.
   budget::NameMap<HostList> racks;
   budget::NameMap<HostList> zones;
   std::string rack_key;
-  const auto key = [&](const Host& host) -> const std::string& {
+  const auto make_rack_key = [&](const Host& host) -> const std::string& {
     return rack_key.assign(host.availability_zone)
         .append("/")
         .append(host.rack);
   };
   for (const auto& [id, host] : m_fleet.hosts) {
     if (host.state == HostState::kFailed) {
-      Append(racks, key(host), host);
-      Append(zones, host.availability_zone, host);
+      AppendHost(racks, make_rack_key(host), host);
+      AppendHost(zones, host.availability_zone, host);
     }
   }
   if (racks.empty()) {
@@ -72,7 +74,7 @@
   }
   for (const auto& [pool, hosts] : m_by_pool) {
     for (const Host* host : hosts) {
-      const auto rack = racks.find(key(*host));
+      const auto rack = racks.find(make_rack_key(*host));
       if (rack != racks.end()) {
         rack->second.push_back(host);
       }
@@ -89,7 +91,7 @@
 void FleetView::AddDownDomains(const budget::NameMap<HostList>& domains,
                                const std::string& kind,
                                const PlanningPolicy& policy) {
-  const size_t first = m_down.size();
+  const size_t first_added = m_down.size();
   for (const auto& [name, hosts] : domains) {
     DownDomain domain;
     domain.name = kind + name;
@@ -101,25 +103,25 @@
         domain.last_failure = std::max(domain.last_failure, host->state_since);
       }
     }
-    const bool is_down = domain.failed >= policy.domain_down_hosts &&
+    const bool is_down = domain.failed >= policy.min_failures_of_down_domain &&
                          2 * domain.failed > domain.hosts;
     if (is_down) {
       m_down.push_back(std::move(domain));
     }
   }
   std::sort(
-      m_down.begin() + static_cast<std::ptrdiff_t>(first), m_down.end(),
+      m_down.begin() + static_cast<std::ptrdiff_t>(first_added), m_down.end(),
       [](const DownDomain& a, const DownDomain& b) { return a.name < b.name; });
 }
 
 const std::vector<const Host*>& FleetView::PoolHosts(
     std::string_view pool) const {
-  return Find(m_by_pool, pool);
+  return FindHosts(m_by_pool, pool);
 }
 
 const std::vector<const Host*>& FleetView::ActHosts(
     std::string_view act) const {
-  return Find(m_by_act, act);
+  return FindHosts(m_by_act, act);
 }
 
 const Host* FleetView::FindHost(const std::string& id) const {
--- a/packages/planning/src/moves.cc
+++ b/packages/planning/src/moves.cc
@@ -19,25 +19,29 @@
   return IsLeaving(host) && host.drain_reason == DrainReason::kMove;
 }
 
-/// Whether the pool can count on the host once what is under way is over.
-bool IsLasting(const PlanContext& context, const Host& host, Millis patience) {
+/// Whether the host will serve its pool once the transitions under way are
+/// over. A failed host counts for `max_failed_time` after its failure, as it
+/// may come back.
+bool WillRemain(const PlanContext& context,
+                const Host& host,
+                Millis max_failed_time) {
   if (host.state == HostState::kFailed) {
-    return context.now() - host.state_since < patience;
+    return context.now() - host.state_since < max_failed_time;
   }
   return !IsLeaving(host) || host.drain_reason == DrainReason::kMaintenance ||
          host.drain_reason == DrainReason::kRollout;
 }
 
-/// One pool's hosts against its target.
+/// One pool's hosts, counted against its target.
 struct PoolCount {
   const Pool* pool = nullptr;
-  int lasting = 0;
-  int free = 0;
-  int arriving = 0;
-  bool is_emergency = false;  ///< A service of it is out of budget.
+  int remaining = 0;  ///< Hosts that will serve the pool; see WillRemain().
+  int free = 0;       ///< Hosts that no act holds and this step doesn't change.
+  int arriving = 0;   ///< Hosts of other pools that are moving here.
+  bool is_out_of_budget = false;  ///< Whether a service of the pool is.
 
-  int missing() const { return pool->target_hosts - lasting - arriving; }
-  int spare() const { return std::min(lasting, free) - pool->target_hosts; }
+  int missing() const { return pool->target_hosts - remaining - arriving; }
+  int spare() const { return std::min(remaining, free) - pool->target_hosts; }
 };
 
 std::vector<PoolCount> CountPools(PlanContext& context) {
@@ -46,11 +50,11 @@
   for (const auto& [name, pool] : context.fleet().pools) {
     PoolCount& count = counts.emplace_back();
     count.pool = &pool;
-    count.is_emergency = !context.budget().IsPoolWhole(name);
-    const Millis patience =
-        count.is_emergency ? Millis(0) : context.policy().move_patience;
+    count.is_out_of_budget = !context.budget().IsPoolWhole(name);
+    const Millis max_failed_time =
+        count.is_out_of_budget ? Millis(0) : context.policy().move_patience;
     for (const Host* host : context.view().PoolHosts(name)) {
-      count.lasting += IsLasting(context, *host, patience);
+      count.remaining += WillRemain(context, *host, max_failed_time);
       count.free += IsFree(*host) && !context.IsTouched(*host);
       if (IsMovingAway(*host)) {
         ++arriving[host->move_to];
@@ -63,7 +67,8 @@
   return counts;
 }
 
-/// Says which hosts may join a pool, and which of them had best.
+/// A pool that lacks hosts. Decides which hosts may join it, and in which order
+/// of preference.
 class Receiver {
  public:
   Receiver(const PlanContext& context, const PoolCount& count)
@@ -78,20 +83,21 @@
   const PoolCount& count() const { return m_count; }
 
   bool Accepts(const Host& host) const {
-    const bool is_rested =
+    const bool is_past_cooldown =
         m_context.now() - host.last_moved >= m_context.policy().move_cooldown;
-    const bool is_near = m_regions.empty() || m_regions.count(host.region);
-    return IsFree(host) && !m_context.IsTouched(host) && is_rested && is_near &&
-           FitsShape(host.capacity, m_count.pool->host_shape);
+    const bool is_in_region = m_regions.empty() || m_regions.count(host.region);
+    return IsFree(host) && !m_context.IsTouched(host) && is_past_cooldown &&
+           is_in_region && FitsShape(host.capacity, m_count.pool->host_shape);
   }
 
-  /// Idle hosts first, then those in domains where the pool has fewest.
-  auto Rank(const Host& host) const {
+  /// Sort key: idle hosts first, then hosts in the zones and racks where the
+  /// pool has the fewest hosts. The id makes the order unique.
+  auto PreferenceKey(const Host& host) const {
     return std::make_tuple(!m_context.IsEmpty(host), HostsInZone(host),
                            HostsInRack(host), std::string_view(host.id));
   }
 
-  void Joined(const Host& host) {
+  void AddMember(const Host& host) {
     ++m_racks[{host.availability_zone, host.rack}];
     ++m_zones[host.availability_zone];
   }
@@ -114,52 +120,56 @@
   std::map<std::string_view, int> m_zones;
 };
 
-/// Matches missing hosts to pools that can spare one, as many as possible, by
-/// augmenting paths.
+/// Assigns donors, pools that can spare hosts, to vacancies, one for each
+/// missing host. Fills as many vacancies as possible, by augmenting paths.
 class DonorMatching {
  public:
-  /// @param fits Whether donor d can serve unit u: fits[u][d].
+  /// @param fits fits[v][d] says whether donor d can fill vacancy v.
+  /// @param spare Hosts that each donor can spare.
   DonorMatching(std::vector<std::vector<bool>> fits, std::vector<int> spare)
       : m_fits(std::move(fits)),
         m_spare(std::move(spare)),
-        m_served(m_spare.size()) {}
+        m_assigned(m_spare.size()) {}
 
-  /// Returns for each unit its donor, or -1. Units first in order are served
-  /// whenever they can be.
+  /// Returns the donor of each vacancy, or -1. Earlier vacancies are filled
+  /// first: a later one never takes their donor without giving them another.
   std::vector<int> Match() {
-    m_donor_of.assign(m_fits.size(), -1);
-    for (size_t unit = 0; unit < m_fits.size(); ++unit) {
-      std::vector<bool> seen(m_spare.size());
-      Augment(unit, seen);
+    m_donor_by_vacancy.assign(m_fits.size(), -1);
+    for (size_t vacancy = 0; vacancy < m_fits.size(); ++vacancy) {
+      std::vector<bool> visited(m_spare.size());
+      Augment(vacancy, visited);
     }
-    return m_donor_of;
+    return m_donor_by_vacancy;
   }
 
  private:
-  bool Augment(size_t unit, std::vector<bool>& seen) {
+  /// Finds a donor for the vacancy that isn't in `visited`, reassigning other
+  /// vacancies if needed.
+  bool Augment(size_t vacancy, std::vector<bool>& visited) {
     for (size_t donor = 0; donor < m_spare.size(); ++donor) {
-      if (!m_fits[unit][donor] || seen[donor]) {
+      if (!m_fits[vacancy][donor] || visited[donor]) {
         continue;
       }
-      seen[donor] = true;
-      if (HasRoom(donor) || MakeRoom(donor, seen)) {
-        m_served[donor].push_back(unit);
-        m_donor_of[unit] = static_cast<int>(donor);
+      visited[donor] = true;
+      if (HasSpareHost(donor) || ReassignOne(donor, visited)) {
+        m_assigned[donor].push_back(vacancy);
+        m_donor_by_vacancy[vacancy] = static_cast<int>(donor);
         return true;
       }
     }
     return false;
   }
 
-  bool HasRoom(size_t donor) const {
-    return static_cast<int>(m_served[donor].size()) < m_spare[donor];
+  bool HasSpareHost(size_t donor) const {
+    return static_cast<int>(m_assigned[donor].size()) < m_spare[donor];
   }
 
-  bool MakeRoom(size_t donor, std::vector<bool>& seen) {
-    const std::vector<size_t> served = m_served[donor];
-    for (const size_t other : served) {
-      if (Augment(other, seen)) {
-        std::erase(m_served[donor], other);
+  /// Gives one of the donor's vacancies to another donor.
+  bool ReassignOne(size_t donor, std::vector<bool>& visited) {
+    const std::vector<size_t> assigned = m_assigned[donor];
+    for (const size_t other : assigned) {
+      if (Augment(other, visited)) {
+        std::erase(m_assigned[donor], other);
         return true;
       }
     }
@@ -168,8 +178,8 @@
 
   std::vector<std::vector<bool>> m_fits;
   std::vector<int> m_spare;
-  std::vector<std::vector<size_t>> m_served;
-  std::vector<int> m_donor_of;
+  std::vector<std::vector<size_t>> m_assigned;
+  std::vector<int> m_donor_by_vacancy;
 };
 
 /// Plans the moves of one step.
@@ -184,11 +194,11 @@
       return;
     }
     FindDonors();
-    const std::vector<int> donor_of = Match();
-    for (size_t unit = 0; unit < m_units.size(); ++unit) {
-      if (donor_of[unit] >= 0) {
-        Move(*m_donors[static_cast<size_t>(donor_of[unit])],
-             m_receivers[m_units[unit]]);
+    const std::vector<int> donor_by_vacancy = Match();
+    for (size_t vacancy = 0; vacancy < m_vacancies.size(); ++vacancy) {
+      if (donor_by_vacancy[vacancy] >= 0) {
+        DrainOneHost(*m_donors[static_cast<size_t>(donor_by_vacancy[vacancy])],
+                     m_receivers[m_vacancies[vacancy]]);
       }
     }
   }
@@ -201,17 +211,19 @@
         short_pools.push_back(&count);
       }
     }
-    std::stable_sort(short_pools.begin(), short_pools.end(),
-                     [](const PoolCount* a, const PoolCount* b) {
-                       return std::make_tuple(!a->is_emergency, -a->missing()) <
-                              std::make_tuple(!b->is_emergency, -b->missing());
-                     });
+    std::stable_sort(
+        short_pools.begin(), short_pools.end(),
+        [](const PoolCount* a, const PoolCount* b) {
+          return std::make_tuple(!a->is_out_of_budget, -a->missing()) <
+                 std::make_tuple(!b->is_out_of_budget, -b->missing());
+        });
     for (const PoolCount* count : short_pools) {
       m_receivers.emplace_back(m_context, *count);
     }
     for (size_t receiver = 0; receiver < m_receivers.size(); ++receiver) {
       const int missing = m_receivers[receiver].count().missing();
-      m_units.insert(m_units.end(), static_cast<size_t>(missing), receiver);
+      m_vacancies.insert(m_vacancies.end(), static_cast<size_t>(missing),
+                         receiver);
     }
   }
 
@@ -236,17 +248,17 @@
     for (const Receiver& receiver : m_receivers) {
       std::vector<bool>& fits = by_receiver.emplace_back();
       for (const PoolCount* donor : m_donors) {
-        fits.push_back(CanGive(*donor, receiver));
+        fits.push_back(HasMovableHost(*donor, receiver));
       }
     }
     std::vector<std::vector<bool>> fits;
-    for (const size_t receiver : m_units) {
+    for (const size_t receiver : m_vacancies) {
       fits.push_back(by_receiver[receiver]);
     }
     return DonorMatching(std::move(fits), std::move(spare)).Match();
   }
 
-  bool CanGive(const PoolCount& donor, const Receiver& receiver) const {
+  bool HasMovableHost(const PoolCount& donor, const Receiver& receiver) const {
     const auto& hosts = m_context.view().PoolHosts(donor.pool->name);
     return std::any_of(hosts.begin(), hosts.end(), [&](const Host* host) {
       return receiver.Accepts(*host) &&
@@ -254,7 +266,7 @@
     });
   }
 
-  void Move(const PoolCount& donor, Receiver& receiver) {
+  void DrainOneHost(const PoolCount& donor, Receiver& receiver) {
     std::vector<const Host*> hosts;
     for (const Host* host : m_context.view().PoolHosts(donor.pool->name)) {
       if (receiver.Accepts(*host)) {
@@ -262,16 +274,17 @@
       }
     }
     std::sort(hosts.begin(), hosts.end(), [&](const Host* a, const Host* b) {
-      return receiver.Rank(*a) < receiver.Rank(*b);
+      return receiver.PreferenceKey(*a) < receiver.PreferenceKey(*b);
     });
-    const std::string& to = receiver.count().pool->name;
+    const std::string& receiver_pool = receiver.count().pool->name;
     for (const Host* host : hosts) {
       const DrainRequest request{
           .reason = DrainReason::kMove,
           .act = "move-" + host->id + "-" + std::to_string(host->epoch),
-          .move_to = to};
-      if (m_context.Drain(*host, request, "pool " + to + " lacks a host")) {
-        receiver.Joined(*host);
+          .move_to = receiver_pool};
+      if (m_context.Drain(*host, request,
+                          "pool " + receiver_pool + " lacks a host")) {
+        receiver.AddMember(*host);
         return;
       }
     }
@@ -281,26 +294,28 @@
   const std::vector<PoolCount> m_counts;
   std::vector<Receiver> m_receivers;
   std::vector<const PoolCount*> m_donors;
-  std::vector<size_t> m_units;  // Receiver of each missing host.
+  /// The index in m_receivers for each missing host.
+  std::vector<size_t> m_vacancies;
 };
 
 }  // namespace
 
 void CancelUnneededMoves(PlanContext& context) {
-  std::map<std::string_view, int> too_many;
+  std::map<std::string_view, int> surplus;
   bool is_counted = false;
   for (const auto& [id, host] : context.fleet().hosts) {
-    // A move without an act is an operator's own, needed or not.
+    // A move without an act was requested by an operator, and goes on whether
+    // it is needed or not.
     if (!IsMovingAway(host) || host.act.empty()) {
       continue;
     }
     if (!is_counted) {
       for (const PoolCount& count : CountPools(context)) {
-        too_many[count.pool->name] = -count.missing();
+        surplus[count.pool->name] = -count.missing();
       }
       is_counted = true;
     }
-    if (too_many[host.move_to]-- > 0) {
+    if (surplus[host.move_to]-- > 0) {
       context.Act(host, HostEvent::kCancelDrain,
                   "pool " + host.move_to + " has its hosts back");
     }
--- a/packages/planning/src/plan_cost.cc
+++ b/packages/planning/src/plan_cost.cc
@@ -8,9 +8,9 @@
 namespace laurelhall::planning {
 namespace {
 
-constexpr double kHourMillis = 3600.0 * 1000;
+constexpr double kMillisPerHour = 3600.0 * 1000;
 
-/// Hosts that the pools have over their targets.
+/// Returns the number of hosts that the pools have above their targets.
 int HostsInReserve(const FleetView& view) {
   int reserve = 0;
   for (const auto& [name, pool] : view.fleet().pools) {
@@ -20,8 +20,10 @@
   return reserve;
 }
 
-std::vector<std::string> PoolsUnderWay(const model::Fleet& fleet,
-                                       const StepResult& step) {
+/// Returns the pools of the step's waves and of the services that its roll-outs
+/// update.
+std::vector<std::string> PoolsOfChangedActs(const model::Fleet& fleet,
+                                            const StepResult& step) {
   std::set<std::string> pools;
   for (const model::Wave& wave : step.waves) {
     pools.insert(wave.pools.begin(), wave.pools.end());
@@ -48,7 +50,8 @@
   cost.host_moves = host_moves;
   cost.buffer_share = buffer_hosts / hosts;
   cost.move_share = host_moves / hosts;
-  const double hours = static_cast<double>(rollout_time.count()) / kHourMillis;
+  const double hours =
+      static_cast<double>(rollout_time.count()) / kMillisPerHour;
   cost.weighted = fleet.weights.buffer * 100 * cost.buffer_share +
                   fleet.weights.rollout_time * hours +
                   fleet.weights.host_moves * 100 * cost.move_share;
@@ -60,8 +63,8 @@
                     Millis time_per_host,
                     const PlanningPolicy& policy) {
   const FleetView view(fleet, policy);
-  const Millis time =
-      WaveLowerBound(fleet, PoolsUnderWay(fleet, step), time_per_host, policy);
+  const Millis time = WaveLowerBound(fleet, PoolsOfChangedActs(fleet, step),
+                                     time_per_host, policy);
   const auto is_move = [](const Action& action) {
     return action.transition.event == model::HostEvent::kDrain &&
            action.transition.drain_reason == model::DrainReason::kMove;
--- a/packages/planning/tests/fleet_driver.cc
+++ b/packages/planning/tests/fleet_driver.cc
@@ -43,15 +43,15 @@
   }
 }
 
-Millis FleetDriver::RandomUpTo(Millis most) {
+Millis FleetDriver::RandomUpTo(Millis max_duration) {
   return Millis(static_cast<int64_t>(
-      m_random() % (static_cast<uint64_t>(most.count()) + 1)));
+      m_random() % (static_cast<uint64_t>(max_duration.count()) + 1)));
 }
 
 void FleetDriver::Step() {
   m_now += m_options.step;
   m_input.now = m_now;
-  RunPlatform();
+  SimulatePlatform();
   Commit(m_planner(m_fleet, m_input), m_fleet, true);
   CountShortfalls();
 }
@@ -63,16 +63,18 @@
   }
 }
 
-void FleetDriver::StepAsOldLeader(const model::Fleet& older, WallTime when) {
+void FleetDriver::StepAsStaleLeader(const model::Fleet& stale_fleet,
+                                    WallTime stale_time) {
   StepInput input = m_input;
-  input.now = when;
-  const StepResult result = m_planner(older, input);
-  Commit(result, older, false);
-  Commit(result, older, false);
+  input.now = stale_time;
+  const StepResult result = m_planner(stale_fleet, input);
+  Commit(result, stale_fleet, false);
+  Commit(result, stale_fleet, false);
 }
 
-void FleetDriver::RunPlatform() {
-  // Apply() changes hosts in place and adds none.
+void FleetDriver::SimulatePlatform() {
+  // Apply() changes hosts in place and adds none, so the loop may go on after
+  // it.
   for (const auto& [id, host] : m_fleet.hosts) {
     UpdateInFlight(host);
     ReturnIfDone(host);
@@ -91,7 +93,7 @@
   const auto found = m_busy_until.find(host.id);
   if (found == m_busy_until.end()) {
     m_busy_until[host.id] =
-        host.state_since + RandomUpTo(m_options.longest_drain);
+        host.state_since + RandomUpTo(m_options.max_drain_time);
     return;
   }
   const bool is_empty = m_now >= found->second && !m_never_empty.count(host.id);
@@ -115,7 +117,7 @@
            .drain_reason = DrainReason::kNone,
            .move_to = {},
            .act = {},
-           .version = is_maintained ? m_install[host.id] : ""});
+           .version = is_maintained ? m_versions_to_install[host.id] : ""});
   }
 }
 
@@ -128,8 +130,9 @@
   if (!after) {
     return false;
   }
-  m_counts.pool_changes_elsewhere += after->pool != found->second.pool &&
-                                     transition.event != HostEvent::kMovePool;
+  m_counts.pool_changes_outside_moves +=
+      after->pool != found->second.pool &&
+      transition.event != HostEvent::kMovePool;
   found->second = *after;
   return true;
 }
@@ -170,7 +173,7 @@
   auto host = m_fleet.hosts.begin();
   std::advance(host,
                static_cast<std::ptrdiff_t>(m_random() % m_fleet.hosts.size()));
-  Fail(host->first, RandomUpTo(m_options.longest_repair));
+  Fail(host->first, RandomUpTo(m_options.max_repair_time));
 }
 
 void FleetDriver::RepairAll() {
@@ -180,13 +183,15 @@
 }
 
 void FleetDriver::Commit(const StepResult& result,
-                         const model::Fleet& seen,
-                         bool fresh) {
-  // A replaced wave is fenced by the state that its planner saw.
-  const auto replace = [](auto& acts, const auto& seen_acts, const auto& act) {
-    const auto expected = seen_acts.find(act.id);
+                         const model::Fleet& planned_on,
+                         bool is_current) {
+  // A wave or roll-out is replaced only if its state is still the one that the
+  // planner planned on.
+  const auto replace = [](auto& acts, const auto& planned_on_acts,
+                          const auto& act) {
+    const auto expected = planned_on_acts.find(act.id);
     const auto found = acts.find(act.id);
-    const bool was_known = expected != seen_acts.end();
+    const bool was_known = expected != planned_on_acts.end();
     const bool is_known = found != acts.end();
     if (was_known != is_known ||
         (is_known && expected->second.state != found->second.state)) {
@@ -194,20 +199,21 @@
     }
     acts[act.id] = act;
   };
-  const std::map<std::string, model::Wave> seen_waves = seen.waves;
-  const std::map<std::string, model::Rollout> seen_rollouts = seen.rollouts;
+  const std::map<std::string, model::Wave> planned_on_waves = planned_on.waves;
+  const std::map<std::string, model::Rollout> planned_on_rollouts =
+      planned_on.rollouts;
   for (const model::Wave& wave : result.waves) {
-    replace(m_fleet.waves, seen_waves, wave);
+    replace(m_fleet.waves, planned_on_waves, wave);
   }
   for (const model::Rollout& rollout : result.rollouts) {
-    replace(m_fleet.rollouts, seen_rollouts, rollout);
+    replace(m_fleet.rollouts, planned_on_rollouts, rollout);
   }
   for (const Action& action : result.actions) {
-    CommitAction(action, fresh);
+    CommitAction(action, is_current);
   }
 }
 
-void FleetDriver::CommitAction(const Action& action, bool fresh) {
+void FleetDriver::CommitAction(const Action& action, bool is_current) {
   const Transition& transition = action.transition;
   Host& host = m_fleet.hosts.at(transition.host);
   const bool is_drain = transition.event == HostEvent::kDrain;
@@ -216,7 +222,8 @@
       transition.expected_epoch == host.epoch &&
       !budget::MayDrain(m_fleet, host.id, m_options.budget).is_allowed();
   if (is_refused) {
-    ++(fresh ? m_counts.refused_fresh : m_counts.refused_stale);
+    ++(is_current ? m_counts.refused_current_drains
+                  : m_counts.refused_stale_drains);
     return;
   }
   const std::string pool_before = host.pool;
@@ -227,18 +234,19 @@
   }
   if (is_drain) {
     ++m_counts.planned_drains;
-    m_counts.planned_violations += !HoldsFor(host);
+    m_counts.planned_violations += !BudgetsHold(host);
   } else if (transition.event == HostEvent::kStopForMaintenance) {
     m_counts.cut_off += m_input.in_flight[host.id] > 0;
-    m_install[host.id] = transition.version;
+    m_versions_to_install[host.id] = transition.version;
   } else if (transition.event == HostEvent::kMovePool) {
     ++m_counts.moves;
     m_counts.moves_back += is_within_day && host.pool == moved_from;
   }
 }
 
-/// Counts the budgets of the host's services anew, without the budget package.
-bool FleetDriver::HoldsFor(const Host& drained) const {
+/// Checks the budgets of the drained host's services without the budget
+/// package, so that a fault in that package is found.
+bool FleetDriver::BudgetsHold(const Host& drained) const {
   for (const auto& [name, service] : m_fleet.services) {
     if (!RunsService(service, drained)) {
       continue;
--- a/packages/planning/tests/fleet_driver.h
+++ b/packages/planning/tests/fleet_driver.h
@@ -9,50 +9,58 @@
 
 #include "laurelhall/planning/controller.h"
 
-// Applies what a planner plans to a fleet, with time, failures and races from
-// a seed. It stands in for the replicated state and the platform; it makes no
-// decision of its own.
+// Simulates the replicated state and the platform for tests of a planner:
+// applies the planner's actions to a fleet while time passes, with random drain
+// times, repair times and failures from a seed. It makes no planning decisions.
 namespace laurelhall::planning {
 
 using Planner =
     std::function<StepResult(const model::Fleet&, const StepInput&)>;
 
+/// The times of drains and repairs are random, up to their maximum.
 struct DriverOptions {
   uint64_t seed = 1;
-  Millis step{std::chrono::minutes(1)};
-  Millis longest_drain{std::chrono::minutes(10)};
+  Millis step{std::chrono::minutes(1)};  ///< Time that Step() advances.
+  Millis max_drain_time{std::chrono::minutes(10)};
   Millis maintenance_time{std::chrono::minutes(20)};
-  Millis longest_repair{std::chrono::hours(8)};
-  bool checks_drains = true;  ///< As the replicated state does on commit.
+  Millis max_repair_time{std::chrono::hours(8)};
+  /// Whether a drain is checked against the budgets again on commit, as the
+  /// replicated state does.
+  bool checks_drains = true;
   budget::BudgetPolicy budget;
 };
 
-/// What went by; violations by planned acts must stay at none.
+/// Counts over the whole run. planned_violations must stay at zero.
 struct DriverCounts {
-  int planned_drains = 0;
+  int planned_drains = 0;      ///< Planned drains that were committed.
   int planned_violations = 0;  ///< Budgets broken by a planned drain.
-  int refused_fresh = 0;       ///< Drains of a fresh step that were refused.
-  int refused_stale = 0;
-  int cut_off = 0;  ///< Hosts stopped with something in flight.
+  int refused_current_drains =
+      0;  ///< Refused, though planned on the current fleet.
+  int refused_stale_drains = 0;  ///< Refused, planned on an older fleet.
+  int cut_off = 0;  ///< Hosts stopped with requests or jobs in flight.
   int moves = 0;
-  int moves_back = 0;  ///< To the pool left within a day.
-  int maintained = 0;
-  int pool_changes_elsewhere = 0;
-  int64_t service_short_steps = 0;  ///< Below min_available.
-  int64_t pool_short_steps = 0;     ///< Below target.
+  int moves_back = 0;  ///< Moves to the pool that the host left within a day.
+  int maintained = 0;  ///< Hosts that returned from maintenance.
+  /// Transitions other than MovePool that changed a host's pool.
+  int pool_changes_outside_moves = 0;
+  /// Steps in which a service was below min_available, over all services.
+  int64_t service_short_steps = 0;
+  /// Steps in which a pool was below its target, over all pools.
+  int64_t pool_short_steps = 0;
 };
 
 class FleetDriver {
  public:
   FleetDriver(model::Fleet fleet, Planner planner, DriverOptions options);
 
-  /// Lets one step of time go by: the platform, then the planner.
+  /// Advances time by one step: simulates the platform, then plans and commits.
   void Step();
+  /// Repeats Step() until `time` has passed.
   void Run(Millis time);
 
-  /// Plans on an older fleet, as a leader that was cut off would, and commits
-  /// what is still accepted; then commits the same once more.
-  void StepAsOldLeader(const model::Fleet& older, WallTime when);
+  /// Plans on an older fleet, as a leader that was partitioned would, and
+  /// commits twice what is still accepted.
+  void StepAsStaleLeader(const model::Fleet& stale_fleet, WallTime stale_time);
 
   bool Apply(const Transition& transition);
   bool ApplyEvent(const std::string& host, model::HostEvent event);
@@ -67,21 +75,25 @@
   WallTime now() const { return m_now; }
   StepInput& input() { return m_input; }
   std::mt19937_64& random() { return m_random; }
-  /// Hosts that something is always in flight on, or that never come back.
+  /// Hosts that never become empty during a drain.
   std::set<std::string> m_never_empty;
+  /// Hosts that don't return from maintenance or from a failure.
   std::set<std::string> m_never_return;
-  /// Versions that the platform installs, by host, as the planner asked.
-  std::map<std::string, std::string> m_install;
+  /// Versions that the platform installs during maintenance, by host id, as the
+  /// planner requested.
+  std::map<std::string, std::string> m_versions_to_install;
 
  private:
-  void RunPlatform();
+  void SimulatePlatform();
   void ReturnIfDone(const model::Host& host);
   void UpdateInFlight(const model::Host& host);
-  void Commit(const StepResult& result, const model::Fleet& seen, bool fresh);
-  void CommitAction(const Action& action, bool fresh);
+  void Commit(const StepResult& result,
+              const model::Fleet& planned_on,
+              bool is_current);
+  void CommitAction(const Action& action, bool is_current);
   void CountShortfalls();
-  bool HoldsFor(const model::Host& host) const;
-  Millis RandomUpTo(Millis most);
+  bool BudgetsHold(const model::Host& host) const;
+  Millis RandomUpTo(Millis max_duration);
 
   model::Fleet m_fleet;
   Planner m_planner;
--- a/packages/planning/tests/lifecycle_test.cc
+++ b/packages/planning/tests/lifecycle_test.cc
@@ -71,29 +71,30 @@
 TEST_CASE_FIXTURE(LifecycleFixture,
                   "Lifecycle, transition of an older epoch, is refused") {
   CHECK(Apply(HostEvent::kDrain, DrainReason::kOperator));
-  const Transition late{.host = "h1",
-                        .expected_epoch = 0,
-                        .event = HostEvent::kCancelDrain,
-                        .drain_reason = DrainReason::kNone,
-                        .move_to = {},
-                        .act = {},
-                        .version = {}};
-  CHECK_FALSE(ApplyTransition(m_host, late, m_now).has_value());
+  const Transition stale_transition{.host = "h1",
+                                    .expected_epoch = 0,
+                                    .event = HostEvent::kCancelDrain,
+                                    .drain_reason = DrainReason::kNone,
+                                    .move_to = {},
+                                    .act = {},
+                                    .version = {}};
+  CHECK_FALSE(ApplyTransition(m_host, stale_transition, m_now).has_value());
 }
 
 TEST_CASE("Lifecycle, every state, retired is final and others can leave") {
   for (int from = 0; from < static_cast<int>(HostState::kCount); ++from) {
-    int ways_out = 0;
+    int allowed_transitions = 0;
     for (int event = 0; event < static_cast<int>(HostEvent::kCount); ++event) {
-      for (int why = 0; why < static_cast<int>(DrainReason::kCount); ++why) {
-        ways_out += NextState(static_cast<HostState>(from),
-                              static_cast<HostEvent>(event),
-                              static_cast<DrainReason>(why))
-                        .has_value();
+      for (int reason = 0; reason < static_cast<int>(DrainReason::kCount);
+           ++reason) {
+        allowed_transitions += NextState(static_cast<HostState>(from),
+                                         static_cast<HostEvent>(event),
+                                         static_cast<DrainReason>(reason))
+                                   .has_value();
       }
     }
     CAPTURE(from);
-    CHECK((ways_out > 0) ==
+    CHECK((allowed_transitions > 0) ==
           (static_cast<HostState>(from) != HostState::kRetired));
   }
   CHECK_FALSE(
--- a/packages/planning/tests/planning_test.cc
+++ b/packages/planning/tests/planning_test.cc
@@ -86,10 +86,10 @@
   }
 
   /// Puts a host into a state for so many minutes; nothing is in flight.
-  void Put(const std::string& id,
-           HostState state,
-           DrainReason reason,
-           int minutes_ago) {
+  void SetHostState(const std::string& id,
+                    HostState state,
+                    DrainReason reason,
+                    int minutes_ago) {
     model::Host& host = m_fleet.hosts.at(id);
     host.state = state;
     host.drain_reason = reason;
@@ -115,9 +115,9 @@
   return count;
 }
 
-void RunUntilDone(FleetDriver& driver, Millis most) {
-  const WallTime end = driver.now() + most;
-  const auto is_open = [&] {
+void RunUntilDone(FleetDriver& driver, Millis time_limit) {
+  const WallTime end = driver.now() + time_limit;
+  const auto has_open_wave = [&] {
     for (const auto& [id, wave] : driver.fleet().waves) {
       if (wave.state == ActState::kRunning || wave.state == ActState::kPaused) {
         return true;
@@ -125,21 +125,23 @@
     }
     return false;
   };
-  while (is_open() && driver.now() < end) {
+  while (has_open_wave() && driver.now() < end) {
     driver.Step();
   }
 }
 
-void CheckSafe(const DriverCounts& counts) {
+void CheckNoViolations(const DriverCounts& counts) {
   CHECK(counts.planned_violations == 0);
-  CHECK(counts.refused_fresh == 0);
+  CHECK(counts.refused_current_drains == 0);
   CHECK(counts.cut_off == 0);
-  CHECK(counts.pool_changes_elsewhere == 0);
+  CHECK(counts.pool_changes_outside_moves == 0);
   CHECK(counts.moves_back == 0);
 }
 
 /// One random disturbance: a failure, an operator's act or an old leader.
-void Disturb(FleetDriver& driver, const model::Fleet& older, WallTime when) {
+void InjectDisturbance(FleetDriver& driver,
+                       const model::Fleet& stale_fleet,
+                       WallTime stale_time) {
   std::mt19937_64& random = driver.random();
   auto at = driver.fleet().hosts.begin();
   std::advance(
@@ -171,7 +173,7 @@
       break;
     default:
       if (random() % 4 == 0) {
-        driver.StepAsOldLeader(older, when);
+        driver.StepAsStaleLeader(stale_fleet, stale_time);
       }
   }
 }
@@ -193,19 +195,19 @@
   for (uint64_t seed = 1; seed <= 60; ++seed) {
     CAPTURE(seed);
     FleetDriver driver = MakeDriver(seed);
-    model::Fleet older = driver.fleet();
-    WallTime when = driver.now();
+    model::Fleet stale_fleet = driver.fleet();
+    WallTime stale_time = driver.now();
     for (int step = 0; step < 600; ++step) {
       driver.Step();
-      Disturb(driver, older, when);
+      InjectDisturbance(driver, stale_fleet, stale_time);
       if (step % 7 == 0) {
-        older = driver.fleet();
-        when = driver.now();
+        stale_fleet = driver.fleet();
+        stale_time = driver.now();
       }
     }
     EndDisturbances(driver);
     RunUntilDone(driver, hours(48));
-    CheckSafe(driver.counts());
+    CheckNoViolations(driver.counts());
     CHECK(driver.counts().planned_drains > 20);
     const model::Wave& wave = driver.fleet().waves.at("wave");
     CHECK(wave.state == ActState::kDone);
@@ -259,7 +261,7 @@
   CHECK(driver.counts().planned_drains >= drains);  // Moves may go on.
   RunUntilDone(driver, hours(24));
   CHECK(driver.fleet().waves.at("wave").state == ActState::kDone);
-  CheckSafe(driver.counts());
+  CheckNoViolations(driver.counts());
 }
 
 TEST_CASE_FIXTURE(
@@ -282,23 +284,23 @@
   wave.id = "wave";
   wave.pools = {"c"};
   wave.pending = {"h102"};
-  Put("h102", HostState::kFailed, DrainReason::kNone, 59);
+  SetHostState("h102", HostState::kFailed, DrainReason::kNone, 59);
   const auto is_done = [this] {
     const std::vector<model::Wave> waves = Step().waves;
     return !waves.empty() && waves.front().state == ActState::kDone;
   };
   CHECK_FALSE(is_done());
-  Put("h102", HostState::kFailed, DrainReason::kNone, 60);
+  SetHostState("h102", HostState::kFailed, DrainReason::kNone, 60);
   CHECK(is_done());
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
                   "Wave, budget short by failures, gives back what it needs") {
   StartWave();
-  Put("h102", HostState::kDrained, DrainReason::kMaintenance, 5);
-  Put("h105", HostState::kDrained, DrainReason::kMaintenance, 2);
+  SetHostState("h102", HostState::kDrained, DrainReason::kMaintenance, 5);
+  SetHostState("h105", HostState::kDrained, DrainReason::kMaintenance, 2);
   for (const char* id : {"h108", "h111"}) {
-    Put(id, HostState::kFailed, DrainReason::kNone, 60);
+    SetHostState(id, HostState::kFailed, DrainReason::kNone, 60);
   }
   // Of twelve, three may be away and four are: one of the two goes back, the
   // newer; the other isn't stopped as long as that isn't committed.
@@ -315,7 +317,7 @@
 TEST_CASE_FIXTURE(PlanningFixture,
                   "Wave, drained host, stops only if empty and let") {
   StartWave();
-  Put("h102", HostState::kDrained, DrainReason::kMaintenance, 5);
+  SetHostState("h102", HostState::kDrained, DrainReason::kMaintenance, 5);
   const auto event_of_host = [this] {
     for (const Action& action : Step().actions) {
       if (action.transition.host == "h102") {
@@ -339,28 +341,29 @@
                   "Host, back from maintenance, is capacity once warm") {
   StartWave();
   m_fleet.pools["c"].warm_up = minutes(5);
-  Put("h102", HostState::kReturning, DrainReason::kMaintenance, 4);
-  const auto warms = [](const Action& action) {
+  SetHostState("h102", HostState::kReturning, DrainReason::kMaintenance, 4);
+  const auto is_warm_up = [](const Action& action) {
     return action.transition.event == HostEvent::kWarm;
   };
   std::vector<Action> actions = Step().actions;
-  CHECK(std::none_of(actions.begin(), actions.end(), warms));
-  Put("h102", HostState::kReturning, DrainReason::kMaintenance, 5);
+  CHECK(std::none_of(actions.begin(), actions.end(), is_warm_up));
+  SetHostState("h102", HostState::kReturning, DrainReason::kMaintenance, 5);
   actions = Step().actions;
-  CHECK(std::any_of(actions.begin(), actions.end(), warms));
+  CHECK(std::any_of(actions.begin(), actions.end(), is_warm_up));
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
                   "Wave, cancelling a drain is lost, counts one try") {
   StartWave();
-  Put("h102", HostState::kDraining, DrainReason::kMaintenance, 31);
+  SetHostState("h102", HostState::kDraining, DrainReason::kMaintenance, 31);
   m_input.in_flight["h102"] = 1;
   budget::Budget budget = budget::Budget::Evaluate(m_fleet, {});
-  const model::Wave once =
+  const model::Wave first_step =
       StepWave(m_fleet, m_fleet.waves["wave"], budget, m_input).wave;
-  const model::Wave twice = StepWave(m_fleet, once, budget, m_input).wave;
-  CHECK(once.tries.at("h102") == 1);
-  CHECK(twice.tries.at("h102") == 1);
+  const model::Wave second_step =
+      StepWave(m_fleet, first_step, budget, m_input).wave;
+  CHECK(first_step.tries.at("h102") == 1);
+  CHECK(second_step.tries.at("h102") == 1);
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
@@ -383,10 +386,10 @@
   wave.pools = {"c"};
   wave.postponed = {"h102"};
   wave.tries["h102"] = 1;
-  Put("h102", HostState::kInPool, DrainReason::kNone, 29);
+  SetHostState("h102", HostState::kInPool, DrainReason::kNone, 29);
   m_fleet.hosts["h102"].last_maintained = WallTime(-hours(1));
   CHECK(Step().actions.empty());
-  Put("h102", HostState::kInPool, DrainReason::kNone, 30);
+  SetHostState("h102", HostState::kInPool, DrainReason::kNone, 30);
   CHECK(Step().actions.size() == 1);
 }
 
@@ -408,7 +411,7 @@
   CHECK(wave.tries.at("h100") == 3);
   CHECK(wave.done.size() == 35);
   CHECK(wave.reason.find("given up") != std::string::npos);
-  CheckSafe(driver.counts());
+  CheckNoViolations(driver.counts());
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
@@ -460,7 +463,7 @@
   // together, some are due once more near the end of the four weeks.
   CHECK(busiest_day <= 6);
   CHECK(driver.counts().maintained <= 60);
-  CheckSafe(driver.counts());
+  CheckNoViolations(driver.counts());
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
@@ -495,7 +498,7 @@
   for (const auto& [id, host] : driver.fleet().hosts) {
     CHECK(host.version == (host.pool == "c" ? "1" : "2"));
   }
-  CheckSafe(driver.counts());
+  CheckNoViolations(driver.counts());
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
@@ -525,7 +528,7 @@
     for (const auto& [id, host] : driver.fleet().hosts) {
       CHECK(host.version == "1");
     }
-    CheckSafe(driver.counts());
+    CheckNoViolations(driver.counts());
   }
 }
 
@@ -563,7 +566,7 @@
     driver.Fail(id, hours(30));
   }
   driver.Run(hours(20));
-  CheckSafe(driver.counts());
+  CheckNoViolations(driver.counts());
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
@@ -588,8 +591,8 @@
   m_fleet.services["insurer-c"].min_available = 7;
   m_fleet.pools["c"].target_hosts = 13;
   m_fleet.waves["wave"] = PlanWave(m_fleet, "wave", {"c"}, m_input.now);
-  Put("h102", HostState::kReturning, DrainReason::kMaintenance, 0);
-  Put("h105", HostState::kReturning, DrainReason::kMaintenance, 0);
+  SetHostState("h102", HostState::kReturning, DrainReason::kMaintenance, 0);
+  SetHostState("h105", HostState::kReturning, DrainReason::kMaintenance, 0);
   const auto drains_of_wave = [this] {
     int drains = 0;
     for (const Action& action : Step().actions) {
@@ -599,7 +602,7 @@
     return drains;
   };
   CHECK(drains_of_wave() == 1);
-  Put("h100", HostState::kDrained, DrainReason::kMove, 1);
+  SetHostState("h100", HostState::kDrained, DrainReason::kMove, 1);
   m_fleet.hosts["h100"].move_to = "c";
   CHECK(drains_of_wave() == 0);
 }
@@ -624,12 +627,13 @@
   input.in_flight["h106"] = 0;  // The only idle host of a.
   const std::vector<Action> moves = PlanMoves(m_fleet, budget, input);
   REQUIRE(moves.size() == 2);
-  std::map<std::string, std::string> from_to;
+  std::map<std::string, std::string> receiver_by_donor;
   for (const Action& move : moves) {
-    from_to[m_fleet.hosts.at(move.transition.host).pool] =
+    receiver_by_donor[m_fleet.hosts.at(move.transition.host).pool] =
         move.transition.move_to;
   }
-  CHECK(from_to == std::map<std::string, std::string>{{"a", "c"}, {"d", "b"}});
+  CHECK(receiver_by_donor ==
+        std::map<std::string, std::string>{{"a", "c"}, {"d", "b"}});
   const auto is_idle = [](const Action& move) {
     return move.transition.host == "h106";
   };
@@ -646,8 +650,8 @@
   m_fleet.pools["c"].may_lend = false;
   CHECK(PlanBuffers(m_fleet).groups.size() == 2);
   CHECK(PlanBuffers(m_fleet).total > plan.total);
-  CHECK(PoissonBound(0.5, 0.001) == 4);
-  CHECK(PoissonBound(0, 0.001) == 0);
+  CHECK(PoissonQuantile(0.5, 0.001) == 4);
+  CHECK(PoissonQuantile(0, 0.001) == 0);
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
@@ -668,15 +672,15 @@
   StartRollout();
   m_fleet.hosts.at("h100").pool = "c";
   const StepResult step = Step();
-  const auto names = [](const std::vector<std::string>& list) {
+  const auto times_listed = [](const std::vector<std::string>& list) {
     return std::count(list.begin(), list.end(), "h100");
   };
   REQUIRE(step.waves.size() == 1);
-  CHECK(names(step.waves[0].pending) == 0);
+  CHECK(times_listed(step.waves[0].pending) == 0);
   REQUIRE(step.rollouts.size() == 1);
-  CHECK(names(step.rollouts[0].pending) == 0);
+  CHECK(times_listed(step.rollouts[0].pending) == 0);
   // One that is under way for the act stays in it.
-  Put("h103", HostState::kDrained, DrainReason::kMaintenance, 1);
+  SetHostState("h103", HostState::kDrained, DrainReason::kMaintenance, 1);
   m_fleet.hosts.at("h103").pool = "c";
   CHECK(Step().waves.at(0).active == std::vector<std::string>{"h103"});
 }
@@ -684,7 +688,7 @@
 TEST_CASE_FIXTURE(PlanningFixture,
                   "Moves, asked for by an operator, are never unneeded") {
   for (const char* id : {"h100", "h103"}) {
-    Put(id, HostState::kDraining, DrainReason::kMove, 1);
+    SetHostState(id, HostState::kDraining, DrainReason::kMove, 1);
     m_fleet.hosts.at(id).move_to = "c";
     m_input.in_flight[id] = 1;
   }
