--- a/packages/planning/tests/fleet_driver.cc
+++ b/packages/planning/tests/fleet_driver.cc
@@ -244,8 +244,8 @@
   }
 }
 
-/// Checks the budgets of the drained host's services without the budget
-/// package, so that a fault in that package is found.
+/// Checks the budgets of the drained host's services by a count of its own, not
+/// by the budget package.
 bool FleetDriver::BudgetsHold(const Host& drained) const {
   for (const auto& [name, service] : m_fleet.services) {
     if (!RunsService(service, drained)) {
--- a/packages/planning/tests/lifecycle_test.cc
+++ b/packages/planning/tests/lifecycle_test.cc
@@ -39,9 +39,10 @@
 };
 
 TEST_CASE_FIXTURE(LifecycleFixture,
-                  "Lifecycle, maintenance, returns as capacity once warm") {
+                  "Lifecycle, maintenance, is capacity again once warm") {
   CHECK(Apply(HostEvent::kDrain, DrainReason::kMaintenance));
-  CHECK_FALSE(Apply(HostEvent::kStopForMaintenance));  // Not yet empty.
+  CHECK_FALSE(
+      Apply(HostEvent::kStopForMaintenance));  // Not yet confirmed empty.
   CHECK(Apply(HostEvent::kConfirmEmpty));
   CHECK_FALSE(Apply(HostEvent::kMovePool));
   CHECK(Apply(HostEvent::kStopForMaintenance));
--- a/packages/planning/tests/planning_test.cc
+++ b/packages/planning/tests/planning_test.cc
@@ -19,8 +19,9 @@
 using std::chrono::hours;
 using std::chrono::minutes;
 
-/// Two pools that one service spans, and a third of its own: four zones, four
-/// hosts to a rack, the pools interleaved over the racks.
+/// A fleet of 36 hosts in pools a, b and c, which are interleaved over racks of
+/// four hosts and four zones. Each pool has a service of its own; the service
+/// "shared" spans a and b.
 struct PlanningFixture {
   PlanningFixture() {
     AddPool("a", 10);
@@ -62,7 +63,7 @@
     host.capacity = {32, 128, 0};
     host.state = HostState::kInPool;
     host.version = "1";
-    host.last_maintained = WallTime(-hours(24));  // The driver adds its clock.
+    host.last_maintained = WallTime(-hours(24));  // The driver adds its time.
     host.state_since = host.last_maintained;
     m_fleet.hosts[host.id] = host;
   }
@@ -85,7 +86,7 @@
         PlanRollout(m_fleet, "roll", "shared", "2", "1", {});
   }
 
-  /// Puts a host into a state for so many minutes; nothing is in flight.
+  /// Sets a host's state as entered `minutes_ago`, with nothing in flight.
   void SetHostState(const std::string& id,
                     HostState state,
                     DrainReason reason,
@@ -138,15 +139,16 @@
   CHECK(counts.moves_back == 0);
 }
 
-/// One random disturbance: a failure, an operator's act or an old leader.
+/// Makes at most one random disturbance: failures, a drain or its cancellation
+/// by an operator, or a step of a stale leader.
 void InjectDisturbance(FleetDriver& driver,
                        const model::Fleet& stale_fleet,
                        WallTime stale_time) {
   std::mt19937_64& random = driver.random();
-  auto at = driver.fleet().hosts.begin();
-  std::advance(
-      at, static_cast<std::ptrdiff_t>(random() % driver.fleet().hosts.size()));
-  const model::Host host = at->second;
+  auto random_host = driver.fleet().hosts.begin();
+  std::advance(random_host, static_cast<std::ptrdiff_t>(
+                                random() % driver.fleet().hosts.size()));
+  const model::Host host = random_host->second;
   switch (random() % 160) {
     case 0:
       driver.FailRack(host.rack, hours(random() % 6));
@@ -189,7 +191,7 @@
 
 TEST_CASE_FIXTURE(PlanningFixture,
                   "FleetController, seeded races and failures, keeps every "
-                  "budget and ends each wave in calm") {
+                  "budget and ends each wave once they stop") {
   StartWave();
   StartRollout();
   for (uint64_t seed = 1; seed <= 60; ++seed) {
@@ -220,7 +222,7 @@
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
-                  "FleetController, same fleet twice, plans the same acts") {
+                  "FleetController, same fleet twice, plans the same actions") {
   StartWave();
   FleetDriver driver = MakeDriver();
   driver.Run(minutes(40));
@@ -232,7 +234,7 @@
   for (size_t i = 0; i < first.actions.size(); ++i) {
     CHECK(first.actions[i].transition.host ==
           second.actions[i].transition.host);
-    // Fenced: the second commit of an act is refused.
+    // The host's epoch fences the action: a second commit is refused.
     const bool is_applied = driver.Apply(first.actions[i].transition);
     CHECK(is_applied);
     CHECK_FALSE(driver.Apply(second.actions[i].transition));
@@ -240,7 +242,7 @@
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
-                  "Wave, rack goes in the middle, pauses and resumes whole") {
+                  "Wave, rack fails midway, pauses and resumes to its end") {
   StartWave();
   FleetDriver driver = MakeDriver();
   driver.Run(minutes(30));
@@ -258,7 +260,7 @@
                               driver.now() - host.state_since < minutes(4);
     CHECK_FALSE(is_new_drain);
   }
-  CHECK(driver.counts().planned_drains >= drains);  // Moves may go on.
+  CHECK(driver.counts().planned_drains >= drains);  // Moves may continue.
   RunUntilDone(driver, hours(24));
   CHECK(driver.fleet().waves.at("wave").state == ActState::kDone);
   CheckNoViolations(driver.counts());
@@ -266,13 +268,15 @@
 
 TEST_CASE_FIXTURE(
     PlanningFixture,
-    "Wave, all that is left fails, isn't done until they return") {
+    "Wave, all remaining hosts fail, isn't done until they return") {
   StartWave();
   FleetDriver driver = MakeDriver();
   for (const char* zone : {"az0", "az1", "az2", "az3"}) {
     driver.FailZone(zone, hours(3));
   }
-  driver.Run(hours(2));  // Long enough to be given up, were it for the hosts.
+  // Longer than the hour after which a single failed host no longer holds up
+  // its wave.
+  driver.Run(hours(2));
   CHECK(driver.fleet().waves.at("wave").state == ActState::kPaused);
   RunUntilDone(driver, hours(24));
   CHECK(driver.fleet().waves.at("wave").done.size() == 36);
@@ -295,15 +299,16 @@
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
-                  "Wave, budget short by failures, gives back what it needs") {
+                  "Wave, budget short by failures, cancels the newest drain") {
   StartWave();
   SetHostState("h102", HostState::kDrained, DrainReason::kMaintenance, 5);
   SetHostState("h105", HostState::kDrained, DrainReason::kMaintenance, 2);
   for (const char* id : {"h108", "h111"}) {
     SetHostState(id, HostState::kFailed, DrainReason::kNone, 60);
   }
-  // Of twelve, three may be away and four are: one of the two goes back, the
-  // newer; the other isn't stopped as long as that isn't committed.
+  // Three of the twelve hosts may be away and four are. The drain of the host
+  // that was drained last is cancelled; the other drained host isn't stopped
+  // before that is committed.
   m_fleet.services["insurer-c"].min_available = 7;
   std::vector<Action> actions = Step().actions;
   std::erase_if(actions, [this](const Action& action) {
@@ -315,7 +320,7 @@
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
-                  "Wave, drained host, stops only if empty and let") {
+                  "Wave, drained host, stops only if empty and allowed") {
   StartWave();
   SetHostState("h102", HostState::kDrained, DrainReason::kMaintenance, 5);
   const auto event_of_host = [this] {
@@ -327,7 +332,7 @@
     return HostEvent::kCount;
   };
   CHECK(event_of_host() == HostEvent::kStopForMaintenance);
-  m_input.in_flight["h102"] = 1;  // Came in by an older view.
+  m_input.in_flight["h102"] = 1;  // Sent by a stale view.
   CHECK(event_of_host() == HostEvent::kCount);
   m_input.in_flight["h102"] = 0;
   m_fleet.waves["wave"].is_held = true;
@@ -353,7 +358,7 @@
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
-                  "Wave, cancelling a drain is lost, counts one try") {
+                  "Wave, cancellation of a drain is lost, counts one try") {
   StartWave();
   SetHostState("h102", HostState::kDraining, DrainReason::kMaintenance, 31);
   m_input.in_flight["h102"] = 1;
@@ -380,7 +385,7 @@
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
-                  "Wave, postponed host alone is left, rests before a retry") {
+                  "Wave, only a postponed host is left, waits before a retry") {
   model::Wave& wave = m_fleet.waves["wave"];
   wave.id = "wave";
   wave.pools = {"c"};
@@ -393,8 +398,9 @@
   CHECK(Step().actions.size() == 1);
 }
 
-TEST_CASE_FIXTURE(PlanningFixture,
-                  "Wave, host never empties, is postponed, given up and told") {
+TEST_CASE_FIXTURE(
+    PlanningFixture,
+    "Wave, host never empties, is postponed, given up and reported") {
   StartWave();
   FleetDriver driver = MakeDriver();
   driver.m_never_empty = {"h100"};
@@ -403,7 +409,7 @@
   CHECK(wave.tries.at("h100") == 1);
   CHECK(wave.postponed == std::vector<std::string>{"h100"});
   CHECK(driver.fleet().hosts.at("h100").state == HostState::kInPool);
-  driver.Run(minutes(10));  // It rests before it is tried again.
+  driver.Run(minutes(10));  // Waits before the retry.
   CHECK(driver.fleet().hosts.at("h100").state == HostState::kInPool);
   RunUntilDone(driver, hours(24));
   CHECK(wave.state == ActState::kDone);
@@ -429,7 +435,7 @@
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
-                  "Wave, host's load unknown, is never taken for empty") {
+                  "Wave, host's load unknown, isn't treated as empty") {
   StartWave();
   FleetDriver driver = MakeDriver();
   driver.Step();
@@ -459,15 +465,17 @@
   for (const auto& [id, host] : driver.fleet().hosts) {
     CHECK(host.last_maintained > start);
   }
-  // Twelve hosts of each pool in the nine days that are left; being done
-  // together, some are due once more near the end of the four weeks.
+  // The twelve hosts of each pool are done in the nine days that are left. As
+  // they are done close together, some are due again near the end of the four
+  // weeks.
   CHECK(busiest_day <= 6);
   CHECK(driver.counts().maintained <= 60);
   CheckNoViolations(driver.counts());
 }
 
-TEST_CASE_FIXTURE(PlanningFixture,
-                  "Schedule, wave of the day known or halted, adds no other") {
+TEST_CASE_FIXTURE(
+    PlanningFixture,
+    "Schedule, wave of the day exists or is halted, adds no other") {
   m_input.now = WallTime(hours(24 * 100));  // All hosts are overdue.
   std::vector<model::Wave> waves = ScheduleWaves(m_fleet, m_input);
   REQUIRE(waves.size() == 3);
@@ -486,7 +494,7 @@
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
-                  "Rollout, healthy, widens from a canary to all hosts") {
+                  "Rollout, healthy, expands from a canary to all hosts") {
   StartRollout();
   FleetDriver driver = MakeDriver();
   const model::Rollout& rollout = driver.fleet().rollouts.at("roll");
@@ -501,8 +509,9 @@
   CheckNoViolations(driver.counts());
 }
 
-TEST_CASE_FIXTURE(PlanningFixture,
-                  "Rollout, new version fails or burns, is rolled back") {
+TEST_CASE_FIXTURE(
+    PlanningFixture,
+    "Rollout, new version fails or burns budget, is rolled back") {
   StartRollout();
   for (const bool by_burn : {false, true}) {
     CAPTURE(by_burn);
@@ -533,7 +542,7 @@
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
-                  "Rollout, burn while the new version does as well, pauses") {
+                  "Rollout, budget burns but not by the new version, pauses") {
   StartRollout();
   FleetDriver driver = MakeDriver();
   const model::Rollout& rollout = driver.fleet().rollouts.at("roll");
@@ -548,9 +557,10 @@
   CHECK(rollout.state == ActState::kPaused);
 }
 
-TEST_CASE_FIXTURE(PlanningFixture,
-                  "Moves, host restarts, nothing moves; stays failed, one "
-                  "does; returns, none goes back") {
+TEST_CASE_FIXTURE(
+    PlanningFixture,
+    "Moves, host restarts, stays failed or returns, moves one host "
+    "only when it stays failed") {
   m_fleet.pools["c"].target_hosts = 12;
   FleetDriver driver = MakeDriver();
   driver.Fail("h102", minutes(5));
@@ -559,9 +569,9 @@
   driver.Fail("h102", hours(10));
   driver.Run(hours(9));
   CHECK(driver.counts().moves == 1);
-  driver.Run(hours(9));  // The failed host is back: one too many in c.
+  driver.Run(hours(9));  // The failed host is back: c has one too many.
   CHECK(driver.counts().moves == 1);
-  // Now it's the lender that lacks hosts; what it lent stays away.
+  // Now the lending pool lacks hosts too; the lent host must not move back.
   for (const char* id : {"h100", "h101", "h102"}) {
     driver.Fail(id, hours(30));
   }
@@ -584,10 +594,12 @@
   CHECK(CountState(driver.fleet(), HostState::kInPool) == 36);
 }
 
-TEST_CASE_FIXTURE(PlanningFixture,
-                  "Moves, host joins a pool, whose budget gives nothing yet") {
-  // Of c's twelve three may be away and two are; joined by a thirteenth that
-  // warms up, it is three of thirteen, of whom no fourth may go.
+TEST_CASE_FIXTURE(
+    PlanningFixture,
+    "Moves, host joins a pool, allows no drain there in that step") {
+  // Three of c's twelve hosts may be away and two are. Once a thirteenth joins,
+  // which is away until it is warm, three of thirteen are away and no fourth
+  // may go.
   m_fleet.services["insurer-c"].min_available = 7;
   m_fleet.pools["c"].target_hosts = 13;
   m_fleet.waves["wave"] = PlanWave(m_fleet, "wave", {"c"}, m_input.now);
@@ -607,9 +619,10 @@
   CHECK(drains_of_wave() == 0);
 }
 
-TEST_CASE_FIXTURE(PlanningFixture,
-                  "Moves, donors that fit differ, serves as many as can be") {
-  // a fits b and c; only a's spare hosts have the accelerators that c needs.
+TEST_CASE_FIXTURE(
+    PlanningFixture,
+    "Moves, donors fit different pools, serves as many as possible") {
+  // Hosts of a fit both b and c; only they have the accelerators that c needs.
   m_fleet.pools["a"].target_hosts = 11;
   m_fleet.pools["b"].target_hosts = 13;
   m_fleet.pools["c"].target_hosts = 13;
@@ -641,10 +654,10 @@
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
-                  "PlanBuffers, interleaved pools, share one rack's loss") {
+                  "PlanBuffers, interleaved pools, share one rack's reserve") {
   const BufferPlan plan = PlanBuffers(m_fleet);
   CHECK(plan.lower_bound == 4);
-  CHECK(plan.total == 5);  // The rack's four, and one in maintenance.
+  CHECK(plan.total == 5);  // Largest rack of four, one in maintenance.
   CHECK(plan.per_pool_total == 9);
   CHECK(plan.groups.size() == 1);
   m_fleet.pools["c"].may_lend = false;
@@ -655,8 +668,8 @@
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
-                  "PlanBuffers, larger hosts may serve smaller pools, one "
-                  "reserve of the larger shape") {
+                  "PlanBuffers, larger hosts may serve smaller pools, plans "
+                  "one reserve of the larger shape") {
   m_fleet.pools["a"].host_shape.accelerators = 4;
   CHECK(PlanBuffers(m_fleet).groups.size() == 2);
   const BufferPlan plan = PlanBuffers(m_fleet, {.across_shapes = true});
@@ -666,7 +679,7 @@
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
-                  "Acts, host moved out of their pools, go on without it") {
+                  "Acts, host moved out of their pools, continue without it") {
   StartWave();
   m_fleet.waves["wave"].pools = {"a"};
   StartRollout();
@@ -679,21 +692,22 @@
   CHECK(times_listed(step.waves[0].pending) == 0);
   REQUIRE(step.rollouts.size() == 1);
   CHECK(times_listed(step.rollouts[0].pending) == 0);
-  // One that is under way for the act stays in it.
+  // A host that is already drained for the act stays in it.
   SetHostState("h103", HostState::kDrained, DrainReason::kMaintenance, 1);
   m_fleet.hosts.at("h103").pool = "c";
   CHECK(Step().waves.at(0).active == std::vector<std::string>{"h103"});
 }
 
-TEST_CASE_FIXTURE(PlanningFixture,
-                  "Moves, asked for by an operator, are never unneeded") {
+TEST_CASE_FIXTURE(
+    PlanningFixture,
+    "Moves, requested by an operator, aren't cancelled as unneeded") {
   for (const char* id : {"h100", "h103"}) {
     SetHostState(id, HostState::kDraining, DrainReason::kMove, 1);
     m_fleet.hosts.at(id).move_to = "c";
     m_input.in_flight[id] = 1;
   }
   m_fleet.pools.at("c").target_hosts = 0;
-  m_fleet.hosts.at("h103").act = "move-h103-1";  // The leader's own.
+  m_fleet.hosts.at("h103").act = "move-h103-1";  // Planned, not an operator's.
   std::map<std::string, HostEvent> events;
   for (const Action& action : Step().actions) {
     events[action.transition.host] = action.transition.event;
@@ -702,8 +716,10 @@
   CHECK(events.at("h103") == HostEvent::kCancelDrain);
 }
 
-TEST_CASE_FIXTURE(PlanningFixture, "WaveLowerBound, slowest service, sets it") {
-  // Of c's twelve, three may go at once by share, one as a rack holds two.
+TEST_CASE_FIXTURE(PlanningFixture,
+                  "WaveLowerBound, slowest service, sets the bound") {
+  // Three of c's twelve hosts may be away at once by the service's share, but
+  // only one if a rack, which holds two, may be lost as well.
   const Millis hour = hours(1);
   CHECK(WaveLowerBound(m_fleet, {"c"}, hour) == hour * 12);
   m_fleet.services["insurer-c"].min_available = 12;
