--- a/packages/planning/include/laurelhall/planning/buffer.h
+++ b/packages/planning/include/laurelhall/planning/buffer.h
@@ -51,9 +51,9 @@
   std::vector<std::string> pools;
   /// Pools whose hosts fit every pool of the group.
   std::vector<std::string> reserve_pools;
-  int hosts = 0;
-  int largest_rack = 0;
-  int largest_zone = 0;
+  int hosts = 0;         ///< Hosts that are in the group's pools now.
+  int largest_rack = 0;  ///< The group's hosts in its largest rack.
+  int largest_zone = 0;  ///< The group's hosts in its largest zone.
   /// Hosts in maintenance at once at the pace that the schedule needs.
   int wave = 0;
   /// Failed hosts at once, exceeded with at most shortfall_probability.
--- a/packages/planning/src/buffer.cc
+++ b/packages/planning/src/buffer.cc
@@ -141,6 +141,7 @@
     Sizing sizing;
   };
 
+  /// Sizes each pool by itself, and puts it into its group.
   void SizePools() {
     for (const auto& [name, pool] : m_fleet.pools) {
       m_shapes[MainRegion(m_view.PoolHosts(name))].push_back(pool.host_shape);
--- a/packages/planning/src/fleet_view.cc
+++ b/packages/planning/src/fleet_view.cc
@@ -11,7 +11,7 @@
 const std::vector<const Host*> kNoHosts;
 const model::Pool kUnknownPool;
 
-/// Returns an empty list for an unknown name.
+/// Returns the list of that name, or an empty one.
 const std::vector<const Host*>& FindHosts(
     const budget::NameMap<std::vector<const Host*>>& lists,
     std::string_view name) {
--- a/packages/planning/src/moves.cc
+++ b/packages/planning/src/moves.cc
@@ -266,6 +266,7 @@
     });
   }
 
+  /// Drains the donor's most preferred host that the budgets allow to move.
   void DrainOneHost(const PoolCount& donor, Receiver& receiver) {
     std::vector<const Host*> hosts;
     for (const Host* host : m_context.view().PoolHosts(donor.pool->name)) {
@@ -294,7 +295,7 @@
   const std::vector<PoolCount> m_counts;
   std::vector<Receiver> m_receivers;
   std::vector<const PoolCount*> m_donors;
-  /// The index in m_receivers for each missing host.
+  /// For each missing host, the index of its pool in m_receivers.
   std::vector<size_t> m_vacancies;
 };
 
--- a/packages/planning/tests/fleet_driver.h
+++ b/packages/planning/tests/fleet_driver.h
@@ -34,9 +34,10 @@
 struct DriverCounts {
   int planned_drains = 0;      ///< Planned drains that were committed.
   int planned_violations = 0;  ///< Budgets broken by a planned drain.
-  int refused_current_drains =
-      0;  ///< Refused, though planned on the current fleet.
-  int refused_stale_drains = 0;  ///< Refused, planned on an older fleet.
+  /// Drains refused on commit though planned on the current fleet.
+  int refused_current_drains = 0;
+  /// Drains refused on commit that were planned on an older fleet.
+  int refused_stale_drains = 0;
   int cut_off = 0;  ///< Hosts stopped with requests or jobs in flight.
   int moves = 0;
   int moves_back = 0;  ///< Moves to the pool that the host left within a day.
@@ -59,7 +60,7 @@
   void Run(Millis time);
 
   /// Plans on an older fleet, as a leader that was partitioned would, and
-  /// commits twice what is still accepted.
+  /// commits the result twice, as far as it is still accepted.
   void StepAsStaleLeader(const model::Fleet& stale_fleet, WallTime stale_time);
 
   bool Apply(const Transition& transition);
