--- a/packages/planning/tests/planning_test.cc
+++ b/packages/planning/tests/planning_test.cc
@@ -19,8 +19,9 @@
 using std::chrono::hours;
 using std::chrono::minutes;
 
-/// Two pools that one service spans, and a third of its own: four zones, four
-/// hosts to a rack, the pools interleaved over the racks.
+/// A fleet of 36 hosts in pools a, b and c, which are interleaved over racks of
+/// four hosts and four zones. Each pool has a service of its own; the service
+/// "shared" spans a and b.
 struct PlanningFixture {
   PlanningFixture() {
     AddPool("a", 10);
@@ -62,7 +63,7 @@
     host.capacity = {32, 128, 0};
     host.state = HostState::kInPool;
     host.version = "1";
-    host.last_maintained = WallTime(-hours(24));  // The driver adds its clock.
+    host.last_maintained = WallTime(-hours(24));  // The driver adds its time.
     host.state_since = host.last_maintained;
     m_fleet.hosts[host.id] = host;
   }
@@ -85,11 +86,11 @@
         PlanRollout(m_fleet, "roll", "shared", "2", "1", {});
   }
 
-  /// Puts a host into a state for so many minutes; nothing is in flight.
-  void Put(const std::string& id,
-           HostState state,
-           DrainReason reason,
-           int minutes_ago) {
+  /// Sets a host's state as entered `minutes_ago`, with nothing in flight.
+  void SetHostState(const std::string& id,
+                    HostState state,
+                    DrainReason reason,
+                    int minutes_ago) {
     model::Host& host = m_fleet.hosts.at(id);
     host.state = state;
     host.drain_reason = reason;
@@ -115,9 +116,9 @@
   return count;
 }
 
-void RunUntilDone(FleetDriver& driver, Millis most) {
-  const WallTime end = driver.now() + most;
-  const auto is_open = [&] {
+void RunUntilDone(FleetDriver& driver, Millis time_limit) {
+  const WallTime end = driver.now() + time_limit;
+  const auto has_open_wave = [&] {
     for (const auto& [id, wave] : driver.fleet().waves) {
       if (wave.state == ActState::kRunning || wave.state == ActState::kPaused) {
         return true;
@@ -125,26 +126,29 @@
     }
     return false;
   };
-  while (is_open() && driver.now() < end) {
+  while (has_open_wave() && driver.now() < end) {
     driver.Step();
   }
 }
 
-void CheckSafe(const DriverCounts& counts) {
+void CheckNoViolations(const DriverCounts& counts) {
   CHECK(counts.planned_violations == 0);
-  CHECK(counts.refused_fresh == 0);
+  CHECK(counts.refused_current_drains == 0);
   CHECK(counts.cut_off == 0);
-  CHECK(counts.pool_changes_elsewhere == 0);
+  CHECK(counts.pool_changes_outside_moves == 0);
   CHECK(counts.moves_back == 0);
 }
 
-/// One random disturbance: a failure, an operator's act or an old leader.
-void Disturb(FleetDriver& driver, const model::Fleet& older, WallTime when) {
+/// Makes at most one random disturbance: failures, a drain or its cancellation
+/// by an operator, or a step of a stale leader.
+void InjectDisturbance(FleetDriver& driver,
+                       const model::Fleet& stale_fleet,
+                       WallTime stale_time) {
   std::mt19937_64& random = driver.random();
-  auto at = driver.fleet().hosts.begin();
-  std::advance(
-      at, static_cast<std::ptrdiff_t>(random() % driver.fleet().hosts.size()));
-  const model::Host host = at->second;
+  auto random_host = driver.fleet().hosts.begin();
+  std::advance(random_host, static_cast<std::ptrdiff_t>(
+                                random() % driver.fleet().hosts.size()));
+  const model::Host host = random_host->second;
   switch (random() % 160) {
     case 0:
       driver.FailRack(host.rack, hours(random() % 6));
@@ -171,7 +175,7 @@
       break;
     default:
       if (random() % 4 == 0) {
-        driver.StepAsOldLeader(older, when);
+        driver.StepAsStaleLeader(stale_fleet, stale_time);
       }
   }
 }
@@ -187,25 +191,25 @@
 
 TEST_CASE_FIXTURE(PlanningFixture,
                   "FleetController, seeded races and failures, keeps every "
-                  "budget and ends each wave in calm") {
+                  "budget and ends each wave once they stop") {
   StartWave();
   StartRollout();
   for (uint64_t seed = 1; seed <= 60; ++seed) {
     CAPTURE(seed);
     FleetDriver driver = MakeDriver(seed);
-    model::Fleet older = driver.fleet();
-    WallTime when = driver.now();
+    model::Fleet stale_fleet = driver.fleet();
+    WallTime stale_time = driver.now();
     for (int step = 0; step < 600; ++step) {
       driver.Step();
-      Disturb(driver, older, when);
+      InjectDisturbance(driver, stale_fleet, stale_time);
       if (step % 7 == 0) {
-        older = driver.fleet();
-        when = driver.now();
+        stale_fleet = driver.fleet();
+        stale_time = driver.now();
       }
     }
     EndDisturbances(driver);
     RunUntilDone(driver, hours(48));
-    CheckSafe(driver.counts());
+    CheckNoViolations(driver.counts());
     CHECK(driver.counts().planned_drains > 20);
     const model::Wave& wave = driver.fleet().waves.at("wave");
     CHECK(wave.state == ActState::kDone);
@@ -218,7 +222,7 @@
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
-                  "FleetController, same fleet twice, plans the same acts") {
+                  "FleetController, same fleet twice, plans the same actions") {
   StartWave();
   FleetDriver driver = MakeDriver();
   driver.Run(minutes(40));
@@ -230,7 +234,7 @@
   for (size_t i = 0; i < first.actions.size(); ++i) {
     CHECK(first.actions[i].transition.host ==
           second.actions[i].transition.host);
-    // Fenced: the second commit of an act is refused.
+    // The host's epoch fences the action: a second commit is refused.
     const bool is_applied = driver.Apply(first.actions[i].transition);
     CHECK(is_applied);
     CHECK_FALSE(driver.Apply(second.actions[i].transition));
@@ -238,7 +242,7 @@
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
-                  "Wave, rack goes in the middle, pauses and resumes whole") {
+                  "Wave, rack fails midway, pauses and resumes to its end") {
   StartWave();
   FleetDriver driver = MakeDriver();
   driver.Run(minutes(30));
@@ -256,21 +260,23 @@
                               driver.now() - host.state_since < minutes(4);
     CHECK_FALSE(is_new_drain);
   }
-  CHECK(driver.counts().planned_drains >= drains);  // Moves may go on.
+  CHECK(driver.counts().planned_drains >= drains);  // Moves may continue.
   RunUntilDone(driver, hours(24));
   CHECK(driver.fleet().waves.at("wave").state == ActState::kDone);
-  CheckSafe(driver.counts());
+  CheckNoViolations(driver.counts());
 }
 
 TEST_CASE_FIXTURE(
     PlanningFixture,
-    "Wave, all that is left fails, isn't done until they return") {
+    "Wave, all remaining hosts fail, isn't done until they return") {
   StartWave();
   FleetDriver driver = MakeDriver();
   for (const char* zone : {"az0", "az1", "az2", "az3"}) {
     driver.FailZone(zone, hours(3));
   }
-  driver.Run(hours(2));  // Long enough to be given up, were it for the hosts.
+  // Longer than the hour after which a single failed host no longer holds up
+  // its wave.
+  driver.Run(hours(2));
   CHECK(driver.fleet().waves.at("wave").state == ActState::kPaused);
   RunUntilDone(driver, hours(24));
   CHECK(driver.fleet().waves.at("wave").done.size() == 36);
@@ -282,26 +288,27 @@
   wave.id = "wave";
   wave.pools = {"c"};
   wave.pending = {"h102"};
-  Put("h102", HostState::kFailed, DrainReason::kNone, 59);
+  SetHostState("h102", HostState::kFailed, DrainReason::kNone, 59);
   const auto is_done = [this] {
     const std::vector<model::Wave> waves = Step().waves;
     return !waves.empty() && waves.front().state == ActState::kDone;
   };
   CHECK_FALSE(is_done());
-  Put("h102", HostState::kFailed, DrainReason::kNone, 60);
+  SetHostState("h102", HostState::kFailed, DrainReason::kNone, 60);
   CHECK(is_done());
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
-                  "Wave, budget short by failures, gives back what it needs") {
+                  "Wave, budget short by failures, cancels the newest drain") {
   StartWave();
-  Put("h102", HostState::kDrained, DrainReason::kMaintenance, 5);
-  Put("h105", HostState::kDrained, DrainReason::kMaintenance, 2);
+  SetHostState("h102", HostState::kDrained, DrainReason::kMaintenance, 5);
+  SetHostState("h105", HostState::kDrained, DrainReason::kMaintenance, 2);
   for (const char* id : {"h108", "h111"}) {
-    Put(id, HostState::kFailed, DrainReason::kNone, 60);
+    SetHostState(id, HostState::kFailed, DrainReason::kNone, 60);
   }
-  // Of twelve, three may be away and four are: one of the two goes back, the
-  // newer; the other isn't stopped as long as that isn't committed.
+  // Three of the twelve hosts may be away and four are. The drain of the host
+  // that was drained last is cancelled; the other drained host isn't stopped
+  // before that is committed.
   m_fleet.services["insurer-c"].min_available = 7;
   std::vector<Action> actions = Step().actions;
   std::erase_if(actions, [this](const Action& action) {
@@ -313,9 +320,9 @@
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
-                  "Wave, drained host, stops only if empty and let") {
+                  "Wave, drained host, stops only if empty and allowed") {
   StartWave();
-  Put("h102", HostState::kDrained, DrainReason::kMaintenance, 5);
+  SetHostState("h102", HostState::kDrained, DrainReason::kMaintenance, 5);
   const auto event_of_host = [this] {
     for (const Action& action : Step().actions) {
       if (action.transition.host == "h102") {
@@ -325,7 +332,7 @@
     return HostEvent::kCount;
   };
   CHECK(event_of_host() == HostEvent::kStopForMaintenance);
-  m_input.in_flight["h102"] = 1;  // Came in by an older view.
+  m_input.in_flight["h102"] = 1;  // Sent by a stale view.
   CHECK(event_of_host() == HostEvent::kCount);
   m_input.in_flight["h102"] = 0;
   m_fleet.waves["wave"].is_held = true;
@@ -339,28 +346,29 @@
                   "Host, back from maintenance, is capacity once warm") {
   StartWave();
   m_fleet.pools["c"].warm_up = minutes(5);
-  Put("h102", HostState::kReturning, DrainReason::kMaintenance, 4);
-  const auto warms = [](const Action& action) {
+  SetHostState("h102", HostState::kReturning, DrainReason::kMaintenance, 4);
+  const auto is_warm_up = [](const Action& action) {
     return action.transition.event == HostEvent::kWarm;
   };
   std::vector<Action> actions = Step().actions;
-  CHECK(std::none_of(actions.begin(), actions.end(), warms));
-  Put("h102", HostState::kReturning, DrainReason::kMaintenance, 5);
+  CHECK(std::none_of(actions.begin(), actions.end(), is_warm_up));
+  SetHostState("h102", HostState::kReturning, DrainReason::kMaintenance, 5);
   actions = Step().actions;
-  CHECK(std::any_of(actions.begin(), actions.end(), warms));
+  CHECK(std::any_of(actions.begin(), actions.end(), is_warm_up));
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
-                  "Wave, cancelling a drain is lost, counts one try") {
+                  "Wave, cancellation of a drain is lost, counts one try") {
   StartWave();
-  Put("h102", HostState::kDraining, DrainReason::kMaintenance, 31);
+  SetHostState("h102", HostState::kDraining, DrainReason::kMaintenance, 31);
   m_input.in_flight["h102"] = 1;
   budget::Budget budget = budget::Budget::Evaluate(m_fleet, {});
-  const model::Wave once =
+  const model::Wave first_step =
       StepWave(m_fleet, m_fleet.waves["wave"], budget, m_input).wave;
-  const model::Wave twice = StepWave(m_fleet, once, budget, m_input).wave;
-  CHECK(once.tries.at("h102") == 1);
-  CHECK(twice.tries.at("h102") == 1);
+  const model::Wave second_step =
+      StepWave(m_fleet, first_step, budget, m_input).wave;
+  CHECK(first_step.tries.at("h102") == 1);
+  CHECK(second_step.tries.at("h102") == 1);
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
@@ -377,21 +385,22 @@
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
-                  "Wave, postponed host alone is left, rests before a retry") {
+                  "Wave, only a postponed host is left, waits before a retry") {
   model::Wave& wave = m_fleet.waves["wave"];
   wave.id = "wave";
   wave.pools = {"c"};
   wave.postponed = {"h102"};
   wave.tries["h102"] = 1;
-  Put("h102", HostState::kInPool, DrainReason::kNone, 29);
+  SetHostState("h102", HostState::kInPool, DrainReason::kNone, 29);
   m_fleet.hosts["h102"].last_maintained = WallTime(-hours(1));
   CHECK(Step().actions.empty());
-  Put("h102", HostState::kInPool, DrainReason::kNone, 30);
+  SetHostState("h102", HostState::kInPool, DrainReason::kNone, 30);
   CHECK(Step().actions.size() == 1);
 }
 
-TEST_CASE_FIXTURE(PlanningFixture,
-                  "Wave, host never empties, is postponed, given up and told") {
+TEST_CASE_FIXTURE(
+    PlanningFixture,
+    "Wave, host never empties, is postponed, given up and reported") {
   StartWave();
   FleetDriver driver = MakeDriver();
   driver.m_never_empty = {"h100"};
@@ -400,7 +409,7 @@
   CHECK(wave.tries.at("h100") == 1);
   CHECK(wave.postponed == std::vector<std::string>{"h100"});
   CHECK(driver.fleet().hosts.at("h100").state == HostState::kInPool);
-  driver.Run(minutes(10));  // It rests before it is tried again.
+  driver.Run(minutes(10));  // Waits before the retry.
   CHECK(driver.fleet().hosts.at("h100").state == HostState::kInPool);
   RunUntilDone(driver, hours(24));
   CHECK(wave.state == ActState::kDone);
@@ -408,7 +417,7 @@
   CHECK(wave.tries.at("h100") == 3);
   CHECK(wave.done.size() == 35);
   CHECK(wave.reason.find("given up") != std::string::npos);
-  CheckSafe(driver.counts());
+  CheckNoViolations(driver.counts());
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
@@ -426,7 +435,7 @@
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
-                  "Wave, host's load unknown, is never taken for empty") {
+                  "Wave, host's load unknown, isn't treated as empty") {
   StartWave();
   FleetDriver driver = MakeDriver();
   driver.Step();
@@ -456,15 +465,17 @@
   for (const auto& [id, host] : driver.fleet().hosts) {
     CHECK(host.last_maintained > start);
   }
-  // Twelve hosts of each pool in the nine days that are left; being done
-  // together, some are due once more near the end of the four weeks.
+  // The twelve hosts of each pool are done in the nine days that are left. As
+  // they are done close together, some are due again near the end of the four
+  // weeks.
   CHECK(busiest_day <= 6);
   CHECK(driver.counts().maintained <= 60);
-  CheckSafe(driver.counts());
+  CheckNoViolations(driver.counts());
 }
 
-TEST_CASE_FIXTURE(PlanningFixture,
-                  "Schedule, wave of the day known or halted, adds no other") {
+TEST_CASE_FIXTURE(
+    PlanningFixture,
+    "Schedule, wave of the day exists or is halted, adds no other") {
   m_input.now = WallTime(hours(24 * 100));  // All hosts are overdue.
   std::vector<model::Wave> waves = ScheduleWaves(m_fleet, m_input);
   REQUIRE(waves.size() == 3);
@@ -483,7 +494,7 @@
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
-                  "Rollout, healthy, widens from a canary to all hosts") {
+                  "Rollout, healthy, expands from a canary to all hosts") {
   StartRollout();
   FleetDriver driver = MakeDriver();
   const model::Rollout& rollout = driver.fleet().rollouts.at("roll");
@@ -495,11 +506,12 @@
   for (const auto& [id, host] : driver.fleet().hosts) {
     CHECK(host.version == (host.pool == "c" ? "1" : "2"));
   }
-  CheckSafe(driver.counts());
+  CheckNoViolations(driver.counts());
 }
 
-TEST_CASE_FIXTURE(PlanningFixture,
-                  "Rollout, new version fails or burns, is rolled back") {
+TEST_CASE_FIXTURE(
+    PlanningFixture,
+    "Rollout, new version fails or burns budget, is rolled back") {
   StartRollout();
   for (const bool by_burn : {false, true}) {
     CAPTURE(by_burn);
@@ -525,12 +537,12 @@
     for (const auto& [id, host] : driver.fleet().hosts) {
       CHECK(host.version == "1");
     }
-    CheckSafe(driver.counts());
+    CheckNoViolations(driver.counts());
   }
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
-                  "Rollout, burn while the new version does as well, pauses") {
+                  "Rollout, budget burns but not by the new version, pauses") {
   StartRollout();
   FleetDriver driver = MakeDriver();
   const model::Rollout& rollout = driver.fleet().rollouts.at("roll");
@@ -545,9 +557,10 @@
   CHECK(rollout.state == ActState::kPaused);
 }
 
-TEST_CASE_FIXTURE(PlanningFixture,
-                  "Moves, host restarts, nothing moves; stays failed, one "
-                  "does; returns, none goes back") {
+TEST_CASE_FIXTURE(
+    PlanningFixture,
+    "Moves, host restarts, stays failed or returns, moves one host "
+    "only when it stays failed") {
   m_fleet.pools["c"].target_hosts = 12;
   FleetDriver driver = MakeDriver();
   driver.Fail("h102", minutes(5));
@@ -556,14 +569,14 @@
   driver.Fail("h102", hours(10));
   driver.Run(hours(9));
   CHECK(driver.counts().moves == 1);
-  driver.Run(hours(9));  // The failed host is back: one too many in c.
+  driver.Run(hours(9));  // The failed host is back: c has one too many.
   CHECK(driver.counts().moves == 1);
-  // Now it's the lender that lacks hosts; what it lent stays away.
+  // Now the lending pool lacks hosts too; the lent host must not move back.
   for (const char* id : {"h100", "h101", "h102"}) {
     driver.Fail(id, hours(30));
   }
   driver.Run(hours(20));
-  CheckSafe(driver.counts());
+  CheckNoViolations(driver.counts());
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
@@ -581,15 +594,17 @@
   CHECK(CountState(driver.fleet(), HostState::kInPool) == 36);
 }
 
-TEST_CASE_FIXTURE(PlanningFixture,
-                  "Moves, host joins a pool, whose budget gives nothing yet") {
-  // Of c's twelve three may be away and two are; joined by a thirteenth that
-  // warms up, it is three of thirteen, of whom no fourth may go.
+TEST_CASE_FIXTURE(
+    PlanningFixture,
+    "Moves, host joins a pool, allows no drain there in that step") {
+  // Three of c's twelve hosts may be away and two are. Once a thirteenth joins,
+  // which is away until it is warm, three of thirteen are away and no fourth
+  // may go.
   m_fleet.services["insurer-c"].min_available = 7;
   m_fleet.pools["c"].target_hosts = 13;
   m_fleet.waves["wave"] = PlanWave(m_fleet, "wave", {"c"}, m_input.now);
-  Put("h102", HostState::kReturning, DrainReason::kMaintenance, 0);
-  Put("h105", HostState::kReturning, DrainReason::kMaintenance, 0);
+  SetHostState("h102", HostState::kReturning, DrainReason::kMaintenance, 0);
+  SetHostState("h105", HostState::kReturning, DrainReason::kMaintenance, 0);
   const auto drains_of_wave = [this] {
     int drains = 0;
     for (const Action& action : Step().actions) {
@@ -599,14 +614,15 @@
     return drains;
   };
   CHECK(drains_of_wave() == 1);
-  Put("h100", HostState::kDrained, DrainReason::kMove, 1);
+  SetHostState("h100", HostState::kDrained, DrainReason::kMove, 1);
   m_fleet.hosts["h100"].move_to = "c";
   CHECK(drains_of_wave() == 0);
 }
 
-TEST_CASE_FIXTURE(PlanningFixture,
-                  "Moves, donors that fit differ, serves as many as can be") {
-  // a fits b and c; only a's spare hosts have the accelerators that c needs.
+TEST_CASE_FIXTURE(
+    PlanningFixture,
+    "Moves, donors fit different pools, serves as many as possible") {
+  // Hosts of a fit both b and c; only they have the accelerators that c needs.
   m_fleet.pools["a"].target_hosts = 11;
   m_fleet.pools["b"].target_hosts = 13;
   m_fleet.pools["c"].target_hosts = 13;
@@ -624,12 +640,13 @@
   input.in_flight["h106"] = 0;  // The only idle host of a.
   const std::vector<Action> moves = PlanMoves(m_fleet, budget, input);
   REQUIRE(moves.size() == 2);
-  std::map<std::string, std::string> from_to;
+  std::map<std::string, std::string> receiver_by_donor;
   for (const Action& move : moves) {
-    from_to[m_fleet.hosts.at(move.transition.host).pool] =
+    receiver_by_donor[m_fleet.hosts.at(move.transition.host).pool] =
         move.transition.move_to;
   }
-  CHECK(from_to == std::map<std::string, std::string>{{"a", "c"}, {"d", "b"}});
+  CHECK(receiver_by_donor ==
+        std::map<std::string, std::string>{{"a", "c"}, {"d", "b"}});
   const auto is_idle = [](const Action& move) {
     return move.transition.host == "h106";
   };
@@ -637,22 +654,22 @@
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
-                  "PlanBuffers, interleaved pools, share one rack's loss") {
+                  "PlanBuffers, interleaved pools, share one rack's reserve") {
   const BufferPlan plan = PlanBuffers(m_fleet);
   CHECK(plan.lower_bound == 4);
-  CHECK(plan.total == 5);  // The rack's four, and one in maintenance.
+  CHECK(plan.total == 5);  // Largest rack of four, one in maintenance.
   CHECK(plan.per_pool_total == 9);
   CHECK(plan.groups.size() == 1);
   m_fleet.pools["c"].may_lend = false;
   CHECK(PlanBuffers(m_fleet).groups.size() == 2);
   CHECK(PlanBuffers(m_fleet).total > plan.total);
-  CHECK(PoissonBound(0.5, 0.001) == 4);
-  CHECK(PoissonBound(0, 0.001) == 0);
+  CHECK(PoissonQuantile(0.5, 0.001) == 4);
+  CHECK(PoissonQuantile(0, 0.001) == 0);
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
-                  "PlanBuffers, larger hosts may serve smaller pools, one "
-                  "reserve of the larger shape") {
+                  "PlanBuffers, larger hosts may serve smaller pools, plans "
+                  "one reserve of the larger shape") {
   m_fleet.pools["a"].host_shape.accelerators = 4;
   CHECK(PlanBuffers(m_fleet).groups.size() == 2);
   const BufferPlan plan = PlanBuffers(m_fleet, {.across_shapes = true});
@@ -662,34 +679,35 @@
 }
 
 TEST_CASE_FIXTURE(PlanningFixture,
-                  "Acts, host moved out of their pools, go on without it") {
+                  "Acts, host moved out of their pools, continue without it") {
   StartWave();
   m_fleet.waves["wave"].pools = {"a"};
   StartRollout();
   m_fleet.hosts.at("h100").pool = "c";
   const StepResult step = Step();
-  const auto names = [](const std::vector<std::string>& list) {
+  const auto times_listed = [](const std::vector<std::string>& list) {
     return std::count(list.begin(), list.end(), "h100");
   };
   REQUIRE(step.waves.size() == 1);
-  CHECK(names(step.waves[0].pending) == 0);
+  CHECK(times_listed(step.waves[0].pending) == 0);
   REQUIRE(step.rollouts.size() == 1);
-  CHECK(names(step.rollouts[0].pending) == 0);
-  // One that is under way for the act stays in it.
-  Put("h103", HostState::kDrained, DrainReason::kMaintenance, 1);
+  CHECK(times_listed(step.rollouts[0].pending) == 0);
+  // A host that is already drained for the act stays in it.
+  SetHostState("h103", HostState::kDrained, DrainReason::kMaintenance, 1);
   m_fleet.hosts.at("h103").pool = "c";
   CHECK(Step().waves.at(0).active == std::vector<std::string>{"h103"});
 }
 
-TEST_CASE_FIXTURE(PlanningFixture,
-                  "Moves, asked for by an operator, are never unneeded") {
+TEST_CASE_FIXTURE(
+    PlanningFixture,
+    "Moves, requested by an operator, aren't cancelled as unneeded") {
   for (const char* id : {"h100", "h103"}) {
-    Put(id, HostState::kDraining, DrainReason::kMove, 1);
+    SetHostState(id, HostState::kDraining, DrainReason::kMove, 1);
     m_fleet.hosts.at(id).move_to = "c";
     m_input.in_flight[id] = 1;
   }
   m_fleet.pools.at("c").target_hosts = 0;
-  m_fleet.hosts.at("h103").act = "move-h103-1";  // The leader's own.
+  m_fleet.hosts.at("h103").act = "move-h103-1";  // Planned, not an operator's.
   std::map<std::string, HostEvent> events;
   for (const Action& action : Step().actions) {
     events[action.transition.host] = action.transition.event;
@@ -698,8 +716,10 @@
   CHECK(events.at("h103") == HostEvent::kCancelDrain);
 }
 
-TEST_CASE_FIXTURE(PlanningFixture, "WaveLowerBound, slowest service, sets it") {
-  // Of c's twelve, three may go at once by share, one as a rack holds two.
+TEST_CASE_FIXTURE(PlanningFixture,
+                  "WaveLowerBound, slowest service, sets the bound") {
+  // Three of c's twelve hosts may be away at once by the service's share, but
+  // only one if a rack, which holds two, may be lost as well.
   const Millis hour = hours(1);
   CHECK(WaveLowerBound(m_fleet, {"c"}, hour) == hour * 12);
   m_fleet.services["insurer-c"].min_available = 12;
