--- a/packages/placement/include/laurelhall/placement/placer.h
+++ b/packages/placement/include/laurelhall/placement/placer.h
@@ -30,7 +30,7 @@
   /// A worker that heard nothing for this long has ended its runs.
   Millis lease_timeout{15'000};
   /// Urgent work starts within this when ending lower work can make room.
-  Millis urgent_start_within{7'200};
+  Millis max_urgent_start_delay{7'200};
   /// A checkpoint that takes longer becomes a stop.
   Millis checkpoint_timeout{60'000};
   /// The same while urgent work waits for the room.
--- a/packages/placement/src/backfill.cc
+++ b/packages/placement/src/backfill.cc
@@ -11,63 +11,64 @@
 // Blocked jobs of one pool that a host is kept for.
 constexpr int kMaxReservations = 2;
 // How far a run must be over its estimate before starved work may end it.
-constexpr int kCheckpointOverrun = 2;
-constexpr int kStopOverrun = 10;
+constexpr int kCheckpointOverrunFactor = 2;
+constexpr int kStopOverrunFactor = 10;
 
-struct Expectation {
-  WallTime at{};
+struct ExpectedRoom {
+  WallTime free_at{};
   Resources spare;
 };
 
 // When a host will have room, by the runs that are expected to end first.
-std::optional<Expectation> WhenFree(const StepContext& context,
-                                    const HostSlot& slot,
-                                    const Resources& size) {
+std::optional<ExpectedRoom> EstimateRoom(const StepContext& context,
+                                         const HostSlot& slot,
+                                         const Resources& size) {
   std::vector<std::pair<Millis, int>> ends;
   for (const int index : slot.runs) {
     if (!context.ledger.runs[index].is_releasing) {
-      ends.emplace_back(RunRemaining(context, context.ledger.runs[index]),
+      ends.emplace_back(RemainingRunTime(context, context.ledger.runs[index]),
                         index);
     }
   }
   std::sort(ends.begin(), ends.end());
-  Expectation expectation{context.now, slot.expected()};
+  ExpectedRoom expected{context.now, slot.expected()};
   for (const auto& [remaining, index] : ends) {
-    if (Fits(size, expectation.spare)) {
+    if (Fits(size, expected.spare)) {
       break;
     }
-    expectation.at = context.now + remaining;
-    expectation.spare = expectation.spare + context.ledger.runs[index].hold;
+    expected.free_at = context.now + remaining;
+    expected.spare = expected.spare + context.ledger.runs[index].held;
   }
-  if (!Fits(size, expectation.spare)) {
+  if (!Fits(size, expected.spare)) {
     return std::nullopt;
   }
-  expectation.spare = expectation.spare - size;
-  return expectation;
+  expected.spare = expected.spare - size;
+  return expected;
 }
 
 // Starved work does not wait for ever for runs that were to end long ago.
-void EndOverruns(StepContext& context,
-                 const HostSlot& slot,
-                 const QueuedJob& queued) {
+void EndOverdueRuns(StepContext& context,
+                    const HostSlot& slot,
+                    const QueuedJob& queued) {
   for (const int index : slot.runs) {
     const Run& run = context.ledger.runs[index];
-    if (run.is_releasing || RankOf(*run.job) < queued.rank) {
+    if (run.is_releasing || PriorityRank(*run.job) < queued.rank) {
       continue;
     }
     const Millis estimate = context.estimates.RunTime(*run.job);
     const Millis work = WorkDone(*run.job, context.now);
     const int bound =
-        run.job->can_checkpoint ? kCheckpointOverrun : kStopOverrun;
+        run.job->can_checkpoint ? kCheckpointOverrunFactor : kStopOverrunFactor;
     if (work > estimate * bound) {
-      EndRun(context, index, "job " + queued.job->id + " has waited too long");
+      CheckpointOrStop(context, index,
+                       "job " + queued.job->id + " has waited too long");
     }
   }
 }
 
 }  // namespace
 
-Millis RunRemaining(const StepContext& context, const Run& run) {
+Millis RemainingRunTime(const StepContext& context, const Run& run) {
   Millis work = WorkDone(*run.job, context.now);
   if (run.usage != nullptr) {
     work = std::max(work, run.usage->work);
@@ -78,24 +79,24 @@
       std::llround(static_cast<double>(remaining.count()) / throttle));
 }
 
-void Reserve(StepContext& context, const QueuedJob& queued) {
-  PoolUse& pool = context.ledger.pools[queued.pool];
+void ReserveHost(StepContext& context, const QueuedJob& queued) {
+  PoolState& pool = context.ledger.pools[queued.pool];
   if (pool.reservations >= kMaxReservations) {
     return;
   }
   int best = -1;
-  Expectation expectation;
+  ExpectedRoom expected;
   for (const int index : pool.hosts) {
     const HostSlot& slot = context.ledger.hosts[index];
-    if (!MayTake(slot, queued) || slot.reservation.has_value()) {
+    if (!IsEligibleHost(slot, queued) || slot.reservation.has_value()) {
       continue;
     }
     const Resources size =
         context.ledger.SizeOn(slot, *queued.job, queued.size);
-    const auto when = WhenFree(context, slot, size);
-    if (when.has_value() && (best < 0 || when->at < expectation.at)) {
+    const auto when = EstimateRoom(context, slot, size);
+    if (when.has_value() && (best < 0 || when->free_at < expected.free_at)) {
       best = index;
-      expectation = *when;
+      expected = *when;
     }
   }
   if (best < 0) {
@@ -103,10 +104,10 @@
   }
   ++pool.reservations;
   HostSlot& slot = context.ledger.hosts[best];
-  slot.reservation = Reservation{queued.job, expectation.at, expectation.spare,
+  slot.reservation = Reservation{queued.job, expected.free_at, expected.spare,
                                  queued.is_starved};
   if (queued.is_starved) {
-    EndOverruns(context, slot, queued);
+    EndOverdueRuns(context, slot, queued);
   }
 }
 
@@ -118,8 +119,8 @@
     return true;
   }
   const Reservation& reservation = *slot.reservation;
-  if (!reservation.is_strict &&
-      context.now + queued.remaining <= reservation.at) {
+  if (!reservation.excludes_short_jobs &&
+      context.now + queued.remaining <= reservation.free_at) {
     return true;
   }
   return Fits(size, reservation.spare);
--- a/packages/placement/src/ledger.cc
+++ b/packages/placement/src/ledger.cc
@@ -14,10 +14,10 @@
 // When more of a pool's hosts are set aside than this, the fault is elsewhere.
 constexpr double kMaxSetAsideShare = 0.2;
 // A run that has lasted this long speaks for its worker.
-constexpr Millis kFreshAge{10'000};
+constexpr Millis kMinHealthyRunAge{10'000};
 
-int IndexIn(std::unordered_map<std::string_view, int>& index,
-            std::string_view name) {
+int FindOrAddIndex(std::unordered_map<std::string_view, int>& index,
+                   std::string_view name) {
   return index.try_emplace(name, static_cast<int>(index.size())).first->second;
 }
 
@@ -29,27 +29,27 @@
 
 // A run that uses more memory than was reserved holds what it uses; processors
 // in use beyond the reserved ones are taken back by throttling it.
-Resources HoldOf(const Job& job, const JobUsage* usage) {
-  Resources hold = job.reserved;
-  hold.processors *= job.throttle;
+Resources HeldResources(const Job& job, const JobUsage* usage) {
+  Resources held = job.reserved;
+  held.processors *= job.throttle;
   if (usage == nullptr) {
-    return hold;
+    return held;
   }
-  hold.memory_gb = std::max(hold.memory_gb, usage->used.memory_gb);
+  held.memory_gb = std::max(held.memory_gb, usage->used.memory_gb);
   if (job.throttle >= 1) {
-    hold.processors = std::max(hold.processors, usage->used.processors);
+    held.processors = std::max(held.processors, usage->used.processors);
   }
-  return hold;
+  return held;
 }
 
-int& Cell(std::vector<int>& cells, int index) {
+int& GrowToElement(std::vector<int>& cells, int index) {
   if (static_cast<size_t>(index) >= cells.size()) {
     cells.resize(static_cast<size_t>(index) + 1);
   }
   return cells[static_cast<size_t>(index)];
 }
 
-int ReadCell(const std::vector<int>& cells, int index) {
+int CountAt(const std::vector<int>& cells, int index) {
   return static_cast<size_t>(index) < cells.size()
              ? cells[static_cast<size_t>(index)]
              : 0;
@@ -62,13 +62,13 @@
 }
 
 Resources HostSlot::expected() const {
-  return free + coming - claimed;
+  return free + releasing - claimed;
 }
 
-Resources TeamUse::UseUpTo(size_t rank) const {
+Resources TeamUse::UsageUpToRank(size_t rank) const {
   Resources sum;
   for (size_t i = 0; i <= rank; ++i) {
-    sum = sum + use[i];
+    sum = sum + usage_by_rank[i];
   }
   return sum;
 }
@@ -80,7 +80,7 @@
                WallTime now)
     : m_fleet(fleet), m_init(init), m_has_quotas(!fleet.quotas.empty()) {
   AddHosts(evidence);
-  LimitSetAside(evidence, now);
+  CloseFailingHosts(evidence, now);
   AddJobs(observations, now);
   for (HostSlot& slot : hosts) {
     LimitStarts(slot, now);
@@ -91,14 +91,15 @@
 // one that fails fast does not draw all that waits.
 void Ledger::LimitStarts(HostSlot& slot, WallTime now) const {
   slot.max_starts = m_init.max_starts_per_host;
-  slot.max_urgent_starts = slot.score > 0 ? 1 : m_init.max_starts_per_host;
-  if (slot.is_proven && slot.score == 0) {
+  slot.max_urgent_starts =
+      slot.failure_score > 0 ? 1 : m_init.max_starts_per_host;
+  if (slot.last_run_succeeded && slot.failure_score == 0) {
     return;
   }
-  int allowed = slot.score > 0 ? 1 : m_init.max_starts_per_host;
+  int allowed = slot.failure_score > 0 ? 1 : m_init.max_starts_per_host;
   for (const int index : slot.runs) {
     const WallTime started = runs[static_cast<size_t>(index)].started;
-    allowed += now - started >= kFreshAge ? 1 : -1;
+    allowed += now - started >= kMinHealthyRunAge ? 1 : -1;
   }
   slot.max_starts = std::clamp(allowed, 0, m_init.max_starts_per_host);
 }
@@ -110,22 +111,22 @@
     HostSlot slot;
     slot.host = &host;
     slot.free = host.capacity;
-    slot.rack = IndexIn(m_rack_index, host.rack);
-    slot.zone = IndexIn(m_zone_index, host.availability_zone);
-    slot.score = evidence.Score(id);
+    slot.rack = FindOrAddIndex(m_rack_index, host.rack);
+    slot.zone = FindOrAddIndex(m_zone_index, host.availability_zone);
+    slot.failure_score = evidence.Score(id);
     slot.is_open = host.state == HostState::kInPool;
-    slot.is_proven = evidence.IsProven(id);
+    slot.last_run_succeeded = evidence.IsProven(id);
     const int index = static_cast<int>(hosts.size());
     m_host_index.emplace(id, index);
     hosts.push_back(std::move(slot));
     if (host.state == HostState::kRetired) {
       continue;
     }
-    const int pool = IndexIn(m_pool_index, host.pool);
+    const int pool = FindOrAddIndex(m_pool_index, host.pool);
     if (static_cast<size_t>(pool) == pools.size()) {
       pools.emplace_back().name = host.pool;
     }
-    PoolUse& use = pools[static_cast<size_t>(pool)];
+    PoolState& use = pools[static_cast<size_t>(pool)];
     use.hosts.push_back(index);
     use.capacity = use.capacity + host.capacity;
   }
@@ -133,8 +134,8 @@
 
 // Sets aside, or leaves to wait after a failure, no more than a share of each
 // pool: those that failed first.
-void Ledger::LimitSetAside(const WorkerEvidence& evidence, WallTime now) {
-  for (PoolUse& pool : pools) {
+void Ledger::CloseFailingHosts(const WorkerEvidence& evidence, WallTime now) {
+  for (PoolState& pool : pools) {
     std::vector<std::pair<WallTime, int>> aside;
     for (const int index : pool.hosts) {
       const Host& host = *hosts[static_cast<size_t>(index)].host;
@@ -142,7 +143,7 @@
         aside.emplace_back(evidence.Find(host.id)->set_aside_at, index);
       } else if (evidence.IsPaused(host.id, now)) {
         // After all that are set aside.
-        aside.emplace_back(now + kFreshAge, index);
+        aside.emplace_back(now + kMinHealthyRunAge, index);
       }
     }
     const auto share = static_cast<size_t>(
@@ -162,7 +163,7 @@
   const auto end = observations.usage.end();
   for (const auto& [id, job] : m_fleet.jobs) {
     if (job.state == model::JobState::kQueued) {
-      queued.push_back(&job);
+      queued_jobs.push_back(&job);
       continue;
     }
     if (job.host.empty()) {
@@ -181,11 +182,11 @@
   const int host = FindHost(job.host);
   if (host < 0) {
     if (IsRunning(job)) {
-      lost.push_back(&job);
+      jobs_on_missing_hosts.push_back(&job);
     }
     return;
   }
-  if (!HoldsItsPart(job, now)) {
+  if (!HoldsResources(job, now)) {
     return;
   }
   HostSlot& slot = hosts[static_cast<size_t>(host)];
@@ -194,7 +195,7 @@
   run.usage = usage;
   run.host = host;
   run.team = FindTeam(job.team);
-  run.hold = HoldOf(job, usage);
+  run.held = HeldResources(job, usage);
   run.throttle = job.throttle;
   run.started = job.started;
   run.committed_throttle = job.throttle;
@@ -202,16 +203,17 @@
       job.state == model::JobState::kCheckpointing && !job.is_stopping;
   run.is_releasing = !IsRunning(job) || IsReleasing(job);
   const int index = static_cast<int>(runs.size());
-  slot.free = slot.free - run.hold;
+  slot.free = slot.free - run.held;
   slot.runs.push_back(index);
   if (!run.is_releasing) {
     TeamUse& team = teams[static_cast<size_t>(run.team)];
-    team.use[RankOf(job)] = team.use[RankOf(job)] + job.reserved;
+    team.usage_by_rank[PriorityRank(job)] =
+        team.usage_by_rank[PriorityRank(job)] + job.reserved;
     team.runs.push_back(index);
-    CountTeamRun(run.team, slot, 1);
-    CountStarved(job, run);
+    AddTeamRuns(run.team, slot, 1);
+    AddStarvedUsage(job, run);
   } else if (IsExpectedToEnd(job, now)) {
-    slot.coming = slot.coming + run.hold;
+    slot.releasing = slot.releasing + run.held;
   } else {
     // A worker that does not answer gets no work until it does.
     slot.is_open = false;
@@ -219,19 +221,19 @@
   runs.push_back(run);
 }
 
-void Ledger::CountStarved(const Job& job, const Run& run) {
+void Ledger::AddStarvedUsage(const Job& job, const Run& run) {
   if (job.started - job.submitted <= m_init.starvation_age) {
     return;
   }
   const int pool = FindPool(job.pool);
   if (pool >= 0) {
-    PoolUse& use = pools[static_cast<size_t>(pool)];
-    use.starved_runs = use.starved_runs + run.hold;
+    PoolState& use = pools[static_cast<size_t>(pool)];
+    use.held_by_starved = use.held_by_starved + run.held;
   }
 }
 
 // An ended job's worker holds its part until it confirms, or must have heard.
-bool Ledger::HoldsItsPart(const Job& job, WallTime now) const {
+bool Ledger::HoldsResources(const Job& job, WallTime now) const {
   return IsRunning(job) || now < job.state_since + m_init.lease_timeout;
 }
 
@@ -253,7 +255,7 @@
 }
 
 int Ledger::FindTeam(std::string_view name) {
-  const int index = IndexIn(m_team_index, name);
+  const int index = FindOrAddIndex(m_team_index, name);
   if (static_cast<size_t>(index) == teams.size()) {
     TeamUse& team = teams.emplace_back();
     team.name = name;
@@ -287,7 +289,7 @@
   const Resources& guaranteed = team.quota->guaranteed;
   const Resources need =
       Fits(job.declared, guaranteed) ? Min(size, guaranteed) : size;
-  return Fits(team.UseUpTo(RankOf(job)) + need, guaranteed);
+  return Fits(team.UsageUpToRank(PriorityRank(job)) + need, guaranteed);
 }
 
 bool Ledger::MayBorrow(const TeamUse& team, const Resources& size) const {
@@ -299,10 +301,10 @@
 }
 
 void Ledger::MarkBorrowed(TeamUse& team) {
-  if (team.is_marked || !m_has_quotas) {
+  if (team.has_borrowed_marks || !m_has_quotas) {
     return;
   }
-  team.is_marked = true;
+  team.has_borrowed_marks = true;
   const Resources guaranteed =
       team.quota == nullptr ? Resources{} : team.quota->guaranteed;
   if (Fits(team.total(), guaranteed)) {
@@ -331,43 +333,44 @@
   slot.free = slot.free - size;
   ++slot.starts;
   TeamUse& use = teams[static_cast<size_t>(team)];
-  use.use[RankOf(job)] = use.use[RankOf(job)] + size;
-  CountTeamRun(team, slot, 1);
+  use.usage_by_rank[PriorityRank(job)] =
+      use.usage_by_rank[PriorityRank(job)] + size;
+  AddTeamRuns(team, slot, 1);
 }
 
 void Ledger::Throttle(int run_index, double throttle) {
   Run& run = runs[static_cast<size_t>(run_index)];
   HostSlot& slot = hosts[static_cast<size_t>(run.host)];
-  const double before = run.hold.processors;
+  const double before = run.held.processors;
   run.throttle = throttle;
-  run.hold.processors = run.job->reserved.processors * throttle;
-  slot.free.processors += before - run.hold.processors;
+  run.held.processors = run.job->reserved.processors * throttle;
+  slot.free.processors += before - run.held.processors;
 }
 
 void Ledger::Release(int run_index) {
   Run& run = runs[static_cast<size_t>(run_index)];
   HostSlot& slot = hosts[static_cast<size_t>(run.host)];
   run.is_releasing = true;
-  slot.coming = slot.coming + run.hold;
+  slot.releasing = slot.releasing + run.held;
   TeamUse& team = teams[static_cast<size_t>(run.team)];
-  Resources& use = team.use[RankOf(*run.job)];
+  Resources& use = team.usage_by_rank[PriorityRank(*run.job)];
   use = use - run.job->reserved;
-  CountTeamRun(run.team, slot, -1);
+  AddTeamRuns(run.team, slot, -1);
 }
 
-void Ledger::CountTeamRun(int team, const HostSlot& slot, int by) {
+void Ledger::AddTeamRuns(int team, const HostSlot& slot, int delta) {
   const auto index = static_cast<size_t>(team);
-  Cell(m_team_racks[index], slot.rack) += by;
-  Cell(m_team_zones[index], slot.zone) += by;
-  m_team_runs[index] += by;
+  GrowToElement(m_team_racks[index], slot.rack) += delta;
+  GrowToElement(m_team_zones[index], slot.zone) += delta;
+  m_team_runs[index] += delta;
 }
 
 int Ledger::TeamRunsInRack(int team, int rack) const {
-  return ReadCell(m_team_racks[static_cast<size_t>(team)], rack);
+  return CountAt(m_team_racks[static_cast<size_t>(team)], rack);
 }
 
 int Ledger::TeamRunsInZone(int team, int zone) const {
-  return ReadCell(m_team_zones[static_cast<size_t>(team)], zone);
+  return CountAt(m_team_zones[static_cast<size_t>(team)], zone);
 }
 
 int Ledger::TeamRuns(int team) const {
--- a/packages/placement/src/ledger_p.h
+++ b/packages/placement/src/ledger_p.h
@@ -14,10 +14,10 @@
 // nothing else.
 namespace laurelhall::placement {
 
-inline constexpr size_t kPriorities =
+inline constexpr size_t kPriorityCount =
     static_cast<size_t>(model::Priority::kCount);
 
-inline size_t RankOf(const model::Job& job) {
+inline size_t PriorityRank(const model::Job& job) {
   return static_cast<size_t>(job.priority);
 }
 
@@ -27,7 +27,7 @@
   const JobUsage* usage = nullptr;  // Null when none was reported.
   int host = 0;
   int team = 0;
-  model::Resources hold;  // What it takes of its host.
+  model::Resources held;  // What it takes of its host.
   double throttle = 1;
   // Copied from the job, so that a pass over all runs stays off the jobs.
   WallTime started{};
@@ -40,25 +40,26 @@
 // The room on a host that a blocked job waits for.
 struct Reservation {
   const model::Job* job = nullptr;
-  WallTime at{};           // When its room is expected.
+  WallTime free_at{};      // When its room is expected.
   model::Resources spare;  // What stays free beside it.
-  bool is_strict = false;  // It has starved: only the spare room is given.
+  bool excludes_short_jobs =
+      false;  // It has starved: only the spare room is given.
 };
 
 struct HostSlot {
   const model::Host* host = nullptr;
-  bool is_open = false;    // Takes new work.
-  bool is_proven = false;  // Its last run here succeeded.
-  int score = 0;           // What speaks against it.
+  bool is_open = false;             // Takes new work.
+  bool last_run_succeeded = false;  // Its last run here succeeded.
+  int failure_score = 0;            // What speaks against it.
   int rack = 0;
   int zone = 0;
   int starts = 0;  // In this step.
   int max_starts = 0;
   int max_urgent_starts = 0;
-  model::Resources free;     // May be below zero when runs use more.
-  model::Resources coming;   // Held by runs that were told to end.
-  model::Resources claimed;  // Of free and coming, by jobs that wait for it.
-  bool is_urgent_claim = false;
+  model::Resources free;       // May be below zero when runs use more.
+  model::Resources releasing;  // Held by runs that were told to end.
+  model::Resources claimed;    // Of free and coming, by jobs that wait for it.
+  bool has_urgent_claim = false;
   std::vector<int> runs;
   std::optional<Reservation> reservation;
 
@@ -69,12 +70,12 @@
 struct TeamUse {
   std::string_view name;
   const model::Quota* quota = nullptr;
-  std::array<model::Resources, kPriorities> use;  // By priority.
-  bool is_marked = false;  // Its borrowed runs are marked.
+  std::array<model::Resources, kPriorityCount> usage_by_rank;  // By priority.
+  bool has_borrowed_marks = false;  // Its borrowed runs are marked.
   std::vector<int> runs;
 
-  model::Resources UseUpTo(size_t rank) const;
-  model::Resources total() const { return UseUpTo(kPriorities - 1); }
+  model::Resources UsageUpToRank(size_t rank) const;
+  model::Resources total() const { return UsageUpToRank(kPriorityCount - 1); }
 };
 
 // A size that found no room in a pool; sizes at least as large need no look.
@@ -91,11 +92,11 @@
   bool is_guaranteed = false;
 };
 
-struct PoolUse {
+struct PoolState {
   std::string_view name;
   std::vector<int> hosts;
   model::Resources capacity;
-  model::Resources starved_runs;  // Held by runs that had waited too long.
+  model::Resources held_by_starved;  // Held by runs that had waited too long.
   std::vector<BlockedSize> blocked;
   std::vector<BlockedPreemption> blocked_preemptions;
   int reservations = 0;
@@ -113,9 +114,10 @@
   std::vector<HostSlot> hosts;
   std::vector<Run> runs;
   std::vector<TeamUse> teams;
-  std::vector<PoolUse> pools;
-  std::vector<const model::Job*> queued;
-  std::vector<const model::Job*> lost;  // Their worker is not in service.
+  std::vector<PoolState> pools;
+  std::vector<const model::Job*> queued_jobs;
+  std::vector<const model::Job*>
+      jobs_on_missing_hosts;  // Their worker is not in service.
 
   int FindHost(std::string_view id) const;
   int FindPool(std::string_view name) const;
@@ -150,14 +152,14 @@
 
  private:
   void AddHosts(const WorkerEvidence& evidence);
-  void LimitSetAside(const WorkerEvidence& evidence, WallTime now);
+  void CloseFailingHosts(const WorkerEvidence& evidence, WallTime now);
   void LimitStarts(HostSlot& slot, WallTime now) const;
   void AddJobs(const Observations& observations, WallTime now);
   void AddRun(const model::Job& job, const JobUsage* usage, WallTime now);
-  void CountStarved(const model::Job& job, const Run& run);
-  bool HoldsItsPart(const model::Job& job, WallTime now) const;
+  void AddStarvedUsage(const model::Job& job, const Run& run);
+  bool HoldsResources(const model::Job& job, WallTime now) const;
   bool IsExpectedToEnd(const model::Job& job, WallTime now) const;
-  void CountTeamRun(int team, const HostSlot& slot, int by);
+  void AddTeamRuns(int team, const HostSlot& slot, int delta);
 
   const model::Fleet& m_fleet;
   const PlacerInit& m_init;
--- a/packages/placement/src/place.cc
+++ b/packages/placement/src/place.cc
@@ -10,14 +10,14 @@
 using model::Resources;
 
 // Weights of what makes a host less fit, beside the room left on it.
-constexpr double kAcceleratorWaste = 4;
-constexpr double kRackSpread = 0.5;
-constexpr double kZoneSpread = 0.25;
-constexpr double kScorePenalty = 1;
+constexpr double kAcceleratorWasteWeight = 4;
+constexpr double kRackSpreadWeight = 0.5;
+constexpr double kZoneSpreadWeight = 0.25;
+constexpr double kFailureScorePenalty = 1;
 
 enum class Outcome { kStarted, kWaiting, kBlocked };
 
-bool IsBlockedSize(const PoolUse& pool, const QueuedJob& queued) {
+bool IsBlockedSize(const PoolState& pool, const QueuedJob& queued) {
   return std::any_of(pool.blocked.begin(), pool.blocked.end(),
                      [&queued](const BlockedSize& blocked) {
                        return Fits(blocked.declared, queued.job->declared) &&
@@ -31,10 +31,10 @@
 
 // Best fit by the resource that the job takes most of: the less of it stays
 // free, the better. Lower is better.
-double Unfitness(const Ledger& ledger,
-                 const HostSlot& slot,
-                 const QueuedJob& queued,
-                 const Resources& size) {
+double PlacementCost(const Ledger& ledger,
+                     const HostSlot& slot,
+                     const QueuedJob& queued,
+                     const Resources& size) {
   const Resources& capacity = slot.host->capacity;
   const Resources left = slot.available() - size;
   const double by_processors = size.processors / capacity.processors;
@@ -44,25 +44,25 @@
                      ? left.processors / capacity.processors
                      : left.memory_gb / capacity.memory_gb;
   if (capacity.accelerators > 0) {
-    score += size.accelerators == 0 ? kAcceleratorWaste
+    score += size.accelerators == 0 ? kAcceleratorWasteWeight
                                     : static_cast<double>(left.accelerators) /
                                           capacity.accelerators;
   }
   const int runs = ledger.TeamRuns(queued.team);
-  score += kRackSpread *
+  score += kRackSpreadWeight *
            ShareOf(ledger.TeamRunsInRack(queued.team, slot.rack), runs);
-  score += kZoneSpread *
+  score += kZoneSpreadWeight *
            ShareOf(ledger.TeamRunsInZone(queued.team, slot.zone), runs);
-  return score + kScorePenalty * slot.score;
+  return score + kFailureScorePenalty * slot.failure_score;
 }
 
-int FindRoom(const StepContext& context, const QueuedJob& queued) {
+int FindBestHost(const StepContext& context, const QueuedJob& queued) {
   const Ledger& ledger = context.ledger;
   int best = -1;
   double best_score = 0;
   for (const int index : ledger.pools[queued.pool].hosts) {
     const HostSlot& slot = ledger.hosts[index];
-    if (!MayTake(slot, queued)) {
+    if (!IsEligibleHost(slot, queued)) {
       continue;
     }
     const Resources size = ledger.SizeOn(slot, *queued.job, queued.size);
@@ -73,7 +73,7 @@
     if (!is_urgent && !MayBackfill(context, slot, queued, size)) {
       continue;
     }
-    const double score = Unfitness(ledger, slot, queued, size);
+    const double score = PlacementCost(ledger, slot, queued, size);
     if (best < 0 || score < best_score) {
       best = index;
       best_score = score;
@@ -89,8 +89,8 @@
   HostSlot& slot = context.ledger.hosts[host];
   const Resources size = context.ledger.SizeOn(slot, *queued.job, queued.size);
   if (slot.reservation.has_value() &&
-      (slot.reservation->is_strict ||
-       context.now + queued.remaining > slot.reservation->at)) {
+      (slot.reservation->excludes_short_jobs ||
+       context.now + queued.remaining > slot.reservation->free_at)) {
     slot.reservation->spare = slot.reservation->spare - size;
   }
   JobAction action;
@@ -105,8 +105,8 @@
   ++context.starts;
 }
 
-void NoteBlocked(StepContext& context, const QueuedJob& queued) {
-  PoolUse& pool = context.ledger.pools[queued.pool];
+void RecordBlockedSize(StepContext& context, const QueuedJob& queued) {
+  PoolState& pool = context.ledger.pools[queued.pool];
   // Where it failed before, others may still go.
   if (queued.job->failed_on.empty() && !IsBlockedSize(pool, queued)) {
     pool.blocked.push_back({queued.job->declared, queued.size});
@@ -118,7 +118,7 @@
                     bool is_guaranteed) {
   const Room room = MakeRoom(context, queued, is_guaranteed);
   switch (room.result) {
-    case RoomResult::kAtOnce:
+    case RoomResult::kAvailableNow:
       StartOn(context, queued, room.host, "lower work was throttled for it");
       return Outcome::kStarted;
     case RoomResult::kWaiting:
@@ -132,16 +132,16 @@
 Outcome TryPlace(StepContext& context,
                  const QueuedJob& queued,
                  bool is_guaranteed) {
-  PoolUse& pool = context.ledger.pools[queued.pool];
+  PoolState& pool = context.ledger.pools[queued.pool];
   if (!IsBlockedSize(pool, queued)) {
-    const int host = FindRoom(context, queued);
+    const int host = FindBestHost(context, queued);
     if (host >= 0) {
       StartOn(context, queued, host,
               is_guaranteed ? "within its team's quota"
                             : "beyond its team's quota, on idle hosts");
       return Outcome::kStarted;
     }
-    NoteBlocked(context, queued);
+    RecordBlockedSize(context, queued);
   }
   const bool is_urgent = queued.job->priority == Priority::kUrgent;
   if (is_urgent || (is_guaranteed && !context.fleet.quotas.empty())) {
@@ -150,7 +150,7 @@
       return outcome;
     }
   }
-  Reserve(context, queued);
+  ReserveHost(context, queued);
   return Outcome::kBlocked;
 }
 
@@ -165,7 +165,7 @@
 }
 
 // How much a team has of what it is guaranteed; the least served goes first.
-double Served(const TeamUse& team, const Resources& fleet) {
+double ServedShare(const TeamUse& team, const Resources& fleet) {
   const Resources& whole =
       team.quota != nullptr && team.quota->guaranteed.processors > 0
           ? team.quota->guaranteed
@@ -173,10 +173,10 @@
   return DominantShare(team.total(), whole);
 }
 
-class Borrowers {
+class BorrowingQueue {
  public:
-  explicit Borrowers(StepContext& context) : m_context(context) {
-    for (const PoolUse& pool : context.ledger.pools) {
+  explicit BorrowingQueue(StepContext& context) : m_context(context) {
+    for (const PoolState& pool : context.ledger.pools) {
       m_capacity = m_capacity + pool.capacity;
     }
   }
@@ -191,7 +191,7 @@
 
   // Starts what fits, always of the team that has least of its guarantee.
   void Place() {
-    for (int team = Next(); team >= 0; team = Next()) {
+    for (int team = NextTeam(); team >= 0; team = NextTeam()) {
       const QueuedJob& queued = *m_waiting[team].front();
       m_waiting[team].pop_front();
       if (m_context.starts < m_context.init.max_starts &&
@@ -202,14 +202,14 @@
   }
 
  private:
-  int Next() const {
+  int NextTeam() const {
     int best = -1;
     double best_served = 0;
     for (size_t i = 0; i < m_waiting.size(); ++i) {
       if (m_waiting[i].empty()) {
         continue;
       }
-      const double served = Served(m_context.ledger.teams[i], m_capacity);
+      const double served = ServedShare(m_context.ledger.teams[i], m_capacity);
       if (best < 0 || served < best_served) {
         best = static_cast<int>(i);
         best_served = served;
@@ -225,7 +225,7 @@
 
 }  // namespace
 
-bool MayTake(const HostSlot& slot, const QueuedJob& queued) {
+bool IsEligibleHost(const HostSlot& slot, const QueuedJob& queued) {
   // Urgent work does not wait for a worker to prove itself.
   const bool is_urgent = queued.job->priority == Priority::kUrgent;
   const int max_starts = is_urgent ? slot.max_urgent_starts : slot.max_starts;
@@ -242,7 +242,7 @@
 // same order of priority, what they borrow.
 void PlaceQueue(StepContext& context) {
   const std::vector<QueuedJob> queue = OrderQueue(context);
-  std::array<std::vector<const QueuedJob*>, kPriorities> borrowing;
+  std::array<std::vector<const QueuedJob*>, kPriorityCount> borrowing;
   for (const QueuedJob& queued : queue) {
     if (context.starts >= context.init.max_starts) {
       return;
@@ -254,11 +254,11 @@
     }
   }
   for (const std::vector<const QueuedJob*>& rank : borrowing) {
-    Borrowers borrowers(context);
+    BorrowingQueue borrowing_queue(context);
     for (const QueuedJob* queued : rank) {
-      borrowers.Add(queued);
+      borrowing_queue.Add(queued);
     }
-    borrowers.Place();
+    borrowing_queue.Place();
   }
 }
 
--- a/packages/placement/src/placer.cc
+++ b/packages/placement/src/placer.cc
@@ -14,9 +14,9 @@
       m_evidence, m_init,
       now,        Ledger(fleet, observations, m_evidence, m_init, now),
       {},         0};
-  RequeueLost(context);
-  FailForGood(context);
-  LeaveHosts(context);
+  RequeueLostRuns(context);
+  FailExhaustedJobs(context);
+  DrainHosts(context);
   RelievePressure(context);
   PlaceQueue(context);
   StopSlowCheckpoints(context);
--- a/packages/placement/src/preempt.cc
+++ b/packages/placement/src/preempt.cc
@@ -53,7 +53,7 @@
 
 // Whether an owner still waits for borrowed runs to end by themselves, before
 // work is lost for its quota.
-bool MayWait(const StepContext& context, const QueuedJob& queued) {
+bool WaitsForBorrowers(const StepContext& context, const QueuedJob& queued) {
   const Millis patience = context.init.reclaim_patience;
   return context.now < queued.waiting_since + patience &&
          context.now + patience < queued.latest_start;
@@ -62,13 +62,14 @@
 // Urgent work within its team's guarantee may take from all that is less
 // urgent; borrowing, from what is borrowed or its own. Other work within the
 // guarantee takes back what others borrow.
-bool MayTakeFrom(StepContext& context, const Claimant& claimant, int index) {
+bool CanPreempt(StepContext& context, const Claimant& claimant, int index) {
   Ledger& ledger = context.ledger;
   const Run& run = ledger.runs[index];
   if (run.is_releasing) {
     return false;
   }
-  const bool is_lower = RankOf(*run.job) > RankOf(*claimant.queued.job);
+  const bool is_lower =
+      PriorityRank(*run.job) > PriorityRank(*claimant.queued.job);
   const bool is_own = run.team == claimant.queued.team;
   ledger.MarkBorrowed(ledger.teams[run.team]);
   if (claimant.is_urgent) {
@@ -76,7 +77,7 @@
   }
   const bool loses_work = !run.job->can_checkpoint;
   return run.is_borrowed && (is_lower || !is_own) &&
-         !(loses_work && MayWait(context, claimant.queued));
+         !(loses_work && WaitsForBorrowers(context, claimant.queued));
 }
 
 Millis WorkLost(const StepContext& context, const model::Job& job) {
@@ -89,10 +90,12 @@
                   const Claimant& claimant,
                   int index) {
   const Run& run = context.ledger.runs[index];
-  const bool is_fair = run.is_borrowed || run.team == claimant.queued.team ||
-                       context.fleet.quotas.empty();
-  return {!is_fair,
-          static_cast<int>(kPriorities) - static_cast<int>(RankOf(*run.job)),
+  const bool is_unprotected = run.is_borrowed ||
+                              run.team == claimant.queued.team ||
+                              context.fleet.quotas.empty();
+  return {!is_unprotected,
+          static_cast<int>(kPriorityCount) -
+              static_cast<int>(PriorityRank(*run.job)),
           WorkLost(context, *run.job), index};
 }
 
@@ -102,12 +105,12 @@
 }
 
 // Runs on a host that the claimant may take from, cheapest first.
-std::vector<VictimCost> VictimsOn(StepContext& context,
-                                  const Claimant& claimant,
-                                  const HostSlot& slot) {
+std::vector<VictimCost> FindVictims(StepContext& context,
+                                    const Claimant& claimant,
+                                    const HostSlot& slot) {
   std::vector<VictimCost> victims;
   for (const int index : slot.runs) {
-    if (MayTakeFrom(context, claimant, index)) {
+    if (CanPreempt(context, claimant, index)) {
       victims.push_back(CostOf(context, claimant, index));
     }
   }
@@ -149,7 +152,7 @@
     if (Fits(size, room)) {
       break;
     }
-    room = room + runs[victim.run].hold;
+    room = room + runs[victim.run].held;
     taken.push_back(victim);
   }
   if (!Fits(size, room)) {
@@ -158,9 +161,9 @@
   RoomPlan plan;
   plan.cost.ends_runs = true;
   for (auto victim = taken.rbegin(); victim != taken.rend(); ++victim) {
-    const Resources without = room - runs[victim->run].hold;
-    if (Fits(size, without)) {
-      room = without;
+    const Resources remaining_room = room - runs[victim->run].held;
+    if (Fits(size, remaining_room)) {
+      room = remaining_room;
       continue;
     }
     plan.victims.push_back(victim->run);
@@ -171,11 +174,11 @@
   return plan;
 }
 
-std::optional<RoomPlan> PlanOn(StepContext& context,
-                               const Claimant& claimant,
-                               const HostSlot& slot,
-                               const Resources& size) {
-  const std::vector<VictimCost> victims = VictimsOn(context, claimant, slot);
+std::optional<RoomPlan> PlanForHost(StepContext& context,
+                                    const Claimant& claimant,
+                                    const HostSlot& slot,
+                                    const Resources& size) {
+  const std::vector<VictimCost> victims = FindVictims(context, claimant, slot);
   if (victims.empty()) {
     return std::nullopt;
   }
@@ -194,17 +197,18 @@
            const Resources& size) {
   HostSlot& slot = context.ledger.hosts[host];
   slot.claimed = slot.claimed + size;
-  slot.is_urgent_claim |= claimant.is_urgent;
+  slot.has_urgent_claim |= claimant.is_urgent;
   TeamUse& team = context.ledger.teams[claimant.queued.team];
-  Resources& use = team.use[RankOf(*claimant.queued.job)];
+  Resources& use = team.usage_by_rank[PriorityRank(*claimant.queued.job)];
   use = use + size;
 }
 
 // The first host whose room is on its way, from this step or an earlier one.
-int FindExpected(const StepContext& context, const QueuedJob& queued) {
+int FindHostWithExpectedRoom(const StepContext& context,
+                             const QueuedJob& queued) {
   for (const int index : context.ledger.pools[queued.pool].hosts) {
     const HostSlot& slot = context.ledger.hosts[index];
-    if (MayTake(slot, queued) &&
+    if (IsEligibleHost(slot, queued) &&
         Fits(context.ledger.SizeOn(slot, *queued.job, queued.size),
              slot.expected())) {
       return index;
@@ -218,12 +222,12 @@
   const QueuedJob& queued = claimant.queued;
   for (const int index : context.ledger.pools[queued.pool].hosts) {
     const HostSlot& slot = context.ledger.hosts[index];
-    if (!MayTake(slot, queued)) {
+    if (!IsEligibleHost(slot, queued)) {
       continue;
     }
     const Resources size =
         context.ledger.SizeOn(slot, *queued.job, queued.size);
-    auto plan = PlanOn(context, claimant, slot, size);
+    auto plan = PlanForHost(context, claimant, slot, size);
     if (plan.has_value() && (best.host < 0 || plan->cost < best.cost)) {
       best = std::move(*plan);
       best.host = index;
@@ -252,35 +256,37 @@
 
 // Whether a checkpoint that fails would make an urgent job start too late: its
 // second try, after a worker that did not answer, must be a stop.
-bool MustStop(const StepContext& context, const Claimant& claimant) {
+bool MustStopWithoutCheckpoint(const StepContext& context,
+                               const Claimant& claimant) {
   const PlacerInit& init = context.init;
   const WallTime bound =
-      claimant.queued.waiting_since + init.urgent_start_within;
-  const WallTime checked =
+      claimant.queued.waiting_since + init.max_urgent_start_delay;
+  const WallTime failed_checkpoint_end =
       context.now + init.urgent_checkpoint_timeout + init.stop_timeout;
-  return claimant.is_urgent && context.now < bound && checked > bound;
+  return claimant.is_urgent && context.now < bound &&
+         failed_checkpoint_end > bound;
 }
 
-bool IsKnownToFail(const PoolUse& pool, const Claimant& claimant) {
+bool IsKnownToFail(const PoolState& pool, const Claimant& claimant) {
   const QueuedJob& queued = claimant.queued;
   return std::any_of(
       pool.blocked_preemptions.begin(), pool.blocked_preemptions.end(),
       [&](const BlockedPreemption& blocked) {
         return blocked.team == queued.team &&
-               blocked.rank == RankOf(*queued.job) &&
+               blocked.rank == PriorityRank(*queued.job) &&
                blocked.is_guaranteed == claimant.is_guaranteed &&
                Fits(blocked.size.declared, queued.job->declared) &&
                Fits(blocked.size.size, queued.size);
       });
 }
 
-void NoteFailure(PoolUse& pool, const Claimant& claimant) {
+void NoteFailure(PoolState& pool, const Claimant& claimant) {
   const QueuedJob& queued = claimant.queued;
   ++pool.preempt_failures;
   if (queued.job->failed_on.empty()) {
     pool.blocked_preemptions.push_back({{queued.job->declared, queued.size},
                                         queued.team,
-                                        RankOf(*queued.job),
+                                        PriorityRank(*queued.job),
                                         claimant.is_guaranteed});
   }
 }
@@ -292,14 +298,14 @@
               bool is_guaranteed) {
   const Claimant claimant{queued, queued.job->priority == Priority::kUrgent,
                           is_guaranteed};
-  const int expected = FindExpected(context, queued);
+  const int expected = FindHostWithExpectedRoom(context, queued);
   if (expected >= 0) {
     Claim(context, expected, claimant,
           context.ledger.SizeOn(context.ledger.hosts[expected], *queued.job,
                                 queued.size));
     return {RoomResult::kWaiting, expected};
   }
-  PoolUse& pool = context.ledger.pools[queued.pool];
+  PoolState& pool = context.ledger.pools[queued.pool];
   if (pool.preempt_failures >= kMaxFailuresPerPool ||
       IsKnownToFail(pool, claimant)) {
     return {};
@@ -316,14 +322,14 @@
       queued.job->id;
   if (!plan.cost.ends_runs) {
     ThrottleFor(context, plan, size, reason);
-    return {RoomResult::kAtOnce, plan.host};
+    return {RoomResult::kAvailableNow, plan.host};
   }
-  const bool must_stop = MustStop(context, claimant);
+  const bool must_stop = MustStopWithoutCheckpoint(context, claimant);
   for (const int victim : plan.victims) {
     if (must_stop) {
       Stop(context, victim, reason);
     } else {
-      EndRun(context, victim, reason);
+      CheckpointOrStop(context, victim, reason);
     }
   }
   Claim(context, plan.host, claimant, size);
@@ -336,7 +342,8 @@
   std::vector<VictimCost> victims;
   for (const int index : team.runs) {
     const Run& run = context.ledger.runs[index];
-    if (!run.is_releasing && RankOf(*run.job) > RankOf(*queued.job)) {
+    if (!run.is_releasing &&
+        PriorityRank(*run.job) > PriorityRank(*queued.job)) {
       victims.push_back(CostOf(context, claimant, index));
     }
   }
@@ -345,9 +352,9 @@
     if (context.ledger.MayBorrow(team, queued.size)) {
       break;
     }
-    EndRun(context, victim.run,
-           "its team may not borrow, and job " + queued.job->id +
-               " goes before it");
+    CheckpointOrStop(context, victim.run,
+                     "its team may not borrow, and job " + queued.job->id +
+                         " goes before it");
   }
   return context.ledger.MayBorrow(team, queued.size);
 }
--- a/packages/placement/src/pressure.cc
+++ b/packages/placement/src/pressure.cc
@@ -10,14 +10,14 @@
 constexpr double kBurstThrottle = 0.95;
 
 double MemoryOveruse(const Run& run) {
-  return run.hold.memory_gb - run.job->reserved.memory_gb;
+  return run.held.memory_gb - run.job->reserved.memory_gb;
 }
 
 void ThrottleBursts(StepContext& context, const HostSlot& slot) {
   for (const int index : slot.runs) {
     const Run& run = context.ledger.runs[index];
     const double reserved = run.job->reserved.processors;
-    const bool bursts = run.hold.processors > reserved + kEpsilon;
+    const bool bursts = run.held.processors > reserved + kEpsilon;
     if (!run.is_releasing && bursts && slot.free.processors < -kEpsilon) {
       Throttle(context, index, kBurstThrottle,
                "host " + slot.host->id + " has no processors left");
@@ -27,7 +27,7 @@
 
 // Ends the least urgent runs first; of these those that use more than was
 // reserved for them, and of these, those that lose no work.
-void EndForMemory(StepContext& context, const HostSlot& slot) {
+void EndRunsForMemory(StepContext& context, const HostSlot& slot) {
   std::vector<int> order = slot.runs;
   const std::vector<Run>& runs = context.ledger.runs;
   const auto key = [&runs](int index) {
@@ -39,11 +39,12 @@
   std::stable_sort(order.begin(), order.end(),
                    [&key](int a, int b) { return key(b) < key(a); });
   for (const int index : order) {
-    if (slot.free.memory_gb + slot.coming.memory_gb >= -kEpsilon) {
+    if (slot.free.memory_gb + slot.releasing.memory_gb >= -kEpsilon) {
       return;
     }
     if (!runs[index].is_releasing) {
-      EndRun(context, index, "host " + slot.host->id + " has no memory left");
+      CheckpointOrStop(context, index,
+                       "host " + slot.host->id + " has no memory left");
     }
   }
 }
@@ -59,7 +60,7 @@
       ThrottleBursts(context, slot);
     }
     if (slot.free.memory_gb < -kEpsilon) {
-      EndForMemory(context, slot);
+      EndRunsForMemory(context, slot);
     }
   }
 }
@@ -79,7 +80,7 @@
     const double wanted = job.throttle >= kBurstThrottle
                               ? job.reserved.processors
                               : job.reserved.processors * (1 - job.throttle);
-    if (!slot.is_urgent_claim && slot.available().processors >= wanted) {
+    if (!slot.has_urgent_claim && slot.available().processors >= wanted) {
       Throttle(context, static_cast<int>(i), 1,
                "host " + slot.host->id + " has processors to spare");
     }
--- a/packages/placement/src/queue.cc
+++ b/packages/placement/src/queue.cc
@@ -12,24 +12,24 @@
 // A job without a deadline is ordered as if it had this long.
 constexpr Millis kDefaultSlack{24 * 3'600'000};
 // The part of a pool that goes to work that has waited too long.
-constexpr double kStarvedShare = 0.1;
+constexpr double kMaxStarvedShare = 0.1;
 
-void Rank(const StepContext& context, QueuedJob& queued) {
+void ComputeOrder(const StepContext& context, QueuedJob& queued) {
   const Job& job = *queued.job;
-  queued.rank = RankOf(job);
+  queued.rank = PriorityRank(job);
   queued.latest_start = LatestStart(job, queued.remaining);
   queued.waiting_since = std::max(job.submitted, job.state_since);
-  queued.is_hopeless = queued.latest_start < context.now;
+  queued.will_miss_deadline = queued.latest_start < context.now;
   const bool is_batch = job.priority == Priority::kBatch;
-  if (is_batch && !queued.is_hopeless &&
+  if (is_batch && !queued.will_miss_deadline &&
       queued.latest_start < context.now + context.init.promotion_slack) {
     queued.rank = static_cast<size_t>(Priority::kStandard);
   }
-  const PoolUse& pool = context.ledger.pools[queued.pool];
+  const PoolState& pool = context.ledger.pools[queued.pool];
   const bool has_waited =
       context.now - queued.waiting_since > context.init.starvation_age;
   if (has_waited && job.priority != Priority::kUrgent &&
-      DominantShare(pool.starved_runs, pool.capacity) < kStarvedShare) {
+      DominantShare(pool.held_by_starved, pool.capacity) < kMaxStarvedShare) {
     queued.is_starved = true;
     queued.rank = static_cast<size_t>(Priority::kStandard);
   }
@@ -48,8 +48,8 @@
     return std::tie(a.waiting_since, a.job->id) <
            std::tie(b.waiting_since, b.job->id);
   }
-  return std::tie(a.is_hopeless, a.latest_start, a.job->id) <
-         std::tie(b.is_hopeless, b.latest_start, b.job->id);
+  return std::tie(a.will_miss_deadline, a.latest_start, a.job->id) <
+         std::tie(b.will_miss_deadline, b.latest_start, b.job->id);
 }
 
 }  // namespace
@@ -61,9 +61,9 @@
   return job.deadline - remaining;
 }
 
-int WorkersAgainst(const Job& job,
-                   const WorkerEvidence& evidence,
-                   WallTime now) {
+int CountHealthyWorkersFailedOn(const Job& job,
+                                const WorkerEvidence& evidence,
+                                WallTime now) {
   return static_cast<int>(std::count_if(
       job.failed_on.begin(), job.failed_on.end(), [&](const std::string& host) {
         return !evidence.IsSetAside(host, now);
@@ -72,8 +72,8 @@
 
 std::vector<QueuedJob> OrderQueue(StepContext& context) {
   std::vector<QueuedJob> queue;
-  queue.reserve(context.ledger.queued.size());
-  for (const Job* job : context.ledger.queued) {
+  queue.reserve(context.ledger.queued_jobs.size());
+  for (const Job* job : context.ledger.queued_jobs) {
     const int pool = context.ledger.FindPool(job->pool);
     if (pool < 0 || context.now < job->not_before) {
       continue;
@@ -84,7 +84,7 @@
     queued.team = context.ledger.FindTeam(job->team);
     queued.remaining = context.estimates.Remaining(*job, job->work_done);
     queued.size = context.estimates.Size(*job);
-    Rank(context, queued);
+    ComputeOrder(context, queued);
     queue.push_back(queued);
   }
   std::sort(queue.begin(), queue.end(), &GoesBefore);
--- a/packages/placement/src/release.cc
+++ b/packages/placement/src/release.cc
@@ -9,9 +9,9 @@
 using model::Job;
 
 // A run that is expected to end within this is left to end on its own.
-constexpr Millis kLeftToEnd{60'000};
+constexpr Millis kMaxRemainingWithoutCheckpoint{60'000};
 
-JobAction ActionOn(const Job& job, JobActionKind kind, std::string reason) {
+JobAction MakeAction(const Job& job, JobActionKind kind, std::string reason) {
   JobAction action;
   action.job = job.id;
   action.expected_lease = job.lease;
@@ -21,17 +21,17 @@
   return action;
 }
 
-bool RunsWork(HostState state) {
+bool KeepsRuns(HostState state) {
   return state == HostState::kInPool || state == HostState::kDraining;
 }
 
 // Why a run must be taken for ended, or empty. A lost worker ends its runs
 // when its leases run out: before that no other worker may start them.
-std::string LostReason(const StepContext& context, const Run& run) {
+std::string RequeueReason(const StepContext& context, const Run& run) {
   const Job& job = *run.job;
   const model::Host& host = *context.ledger.hosts[run.host].host;
   const Millis lease = context.init.lease_timeout;
-  if (!RunsWork(host.state) && context.now >= host.state_since + lease) {
+  if (!KeepsRuns(host.state) && context.now >= host.state_since + lease) {
     return "its worker " + host.id + " is out of service";
   }
   if (job.is_stopping && context.now >= job.state_since + lease) {
@@ -40,7 +40,7 @@
   return {};
 }
 
-void LeaveHost(StepContext& context, const HostSlot& slot) {
+void DrainHost(StepContext& context, const HostSlot& slot) {
   const model::Host& host = *slot.host;
   const auto pool = context.fleet.pools.find(host.pool);
   const Millis timeout = pool == context.fleet.pools.end()
@@ -53,16 +53,17 @@
       continue;
     }
     if (is_over) {
-      EndRun(context, index, "host " + host.id + " has drained for too long");
-    } else if (run.job->can_checkpoint &&
-               RunRemaining(context, run) > kLeftToEnd) {
+      CheckpointOrStop(context, index,
+                       "host " + host.id + " has drained for too long");
+    } else if (run.job->can_checkpoint && RemainingRunTime(context, run) >
+                                              kMaxRemainingWithoutCheckpoint) {
       Checkpoint(context, index, "host " + host.id + " drains");
     }
   }
 }
 
 // Hosts of a pool that could run a job at all; few hosts mean fewer tries.
-int HostsInService(const Ledger& ledger, const Job& job) {
+int CountEligibleHosts(const Ledger& ledger, const Job& job) {
   const int pool = ledger.FindPool(job.pool);
   if (pool < 0) {
     return 0;
@@ -81,20 +82,22 @@
 void Checkpoint(StepContext& context, int run, std::string reason) {
   const Job& job = *context.ledger.runs[run].job;
   context.actions.push_back(
-      ActionOn(job, JobActionKind::kCheckpoint, std::move(reason)));
+      MakeAction(job, JobActionKind::kCheckpoint, std::move(reason)));
   context.ledger.Release(run);
 }
 
 void Stop(StepContext& context, int run, std::string reason) {
-  const Run& held = context.ledger.runs[run];
+  const Run& target = context.ledger.runs[run];
   context.actions.push_back(
-      ActionOn(*held.job, JobActionKind::kStop, std::move(reason)));
-  if (!held.is_releasing) {
+      MakeAction(*target.job, JobActionKind::kStop, std::move(reason)));
+  if (!target.is_releasing) {
     context.ledger.Release(run);
   }
 }
 
-void EndRun(StepContext& context, int run, const std::string& reason) {
+void CheckpointOrStop(StepContext& context,
+                      int run,
+                      const std::string& reason) {
   if (context.ledger.runs[run].job->can_checkpoint) {
     Checkpoint(context, run, reason);
   } else {
@@ -106,49 +109,50 @@
               int run,
               double throttle,
               std::string reason) {
-  JobAction action = ActionOn(*context.ledger.runs[run].job,
-                              JobActionKind::kThrottle, std::move(reason));
+  JobAction action = MakeAction(*context.ledger.runs[run].job,
+                                JobActionKind::kThrottle, std::move(reason));
   action.throttle = throttle;
   context.actions.push_back(std::move(action));
   context.ledger.Throttle(run, throttle);
 }
 
-void RequeueLost(StepContext& context) {
-  for (const Job* job : context.ledger.lost) {
-    context.actions.push_back(ActionOn(*job, JobActionKind::kRequeue,
-                                       "its worker " + job->host + " is gone"));
+void RequeueLostRuns(StepContext& context) {
+  for (const Job* job : context.ledger.jobs_on_missing_hosts) {
+    context.actions.push_back(MakeAction(
+        *job, JobActionKind::kRequeue, "its worker " + job->host + " is gone"));
   }
   for (size_t i = 0; i < context.ledger.runs.size(); ++i) {
     const Run& run = context.ledger.runs[i];
     const HostState state = context.ledger.hosts[run.host].host->state;
-    if ((!run.is_releasing && RunsWork(state)) || !IsRunning(*run.job)) {
+    if ((!run.is_releasing && KeepsRuns(state)) || !IsRunning(*run.job)) {
       continue;
     }
-    std::string reason = LostReason(context, run);
+    std::string reason = RequeueReason(context, run);
     if (reason.empty()) {
       continue;
     }
     context.actions.push_back(
-        ActionOn(*run.job, JobActionKind::kRequeue, std::move(reason)));
+        MakeAction(*run.job, JobActionKind::kRequeue, std::move(reason)));
     if (!run.is_releasing) {
       context.ledger.Release(static_cast<int>(i));
     }
   }
 }
 
-void FailForGood(StepContext& context) {
-  std::erase_if(context.ledger.queued, [&context](const Job* job) {
+void FailExhaustedJobs(StepContext& context) {
+  std::erase_if(context.ledger.queued_jobs, [&context](const Job* job) {
     if (job->failures == 0) {
       return false;
     }
-    const int against = WorkersAgainst(*job, context.evidence, context.now);
+    const int against =
+        CountHealthyWorkersFailedOn(*job, context.evidence, context.now);
     const int enough =
         std::min(context.init.max_failed_workers,
-                 std::max(1, HostsInService(context.ledger, *job)));
+                 std::max(1, CountEligibleHosts(context.ledger, *job)));
     if (against < enough && job->failures < context.init.max_failures) {
       return false;
     }
-    context.actions.push_back(ActionOn(
+    context.actions.push_back(MakeAction(
         *job, JobActionKind::kFail,
         fmt::format("it failed {} times on {} workers that run other work; "
                     "last: {}",
@@ -157,10 +161,10 @@
   });
 }
 
-void LeaveHosts(StepContext& context) {
+void DrainHosts(StepContext& context) {
   for (const HostSlot& slot : context.ledger.hosts) {
     if (slot.host->state == HostState::kDraining && !slot.runs.empty()) {
-      LeaveHost(context, slot);
+      DrainHost(context, slot);
     }
   }
 }
@@ -169,11 +173,11 @@
   for (size_t i = 0; i < context.ledger.runs.size(); ++i) {
     const Run& run = context.ledger.runs[i];
     const HostSlot& slot = context.ledger.hosts[run.host];
-    if (!run.is_checkpointing || !RunsWork(slot.host->state)) {
+    if (!run.is_checkpointing || !KeepsRuns(slot.host->state)) {
       continue;
     }
     const Job& job = *run.job;
-    const bool is_urgent = slot.is_urgent_claim;
+    const bool is_urgent = slot.has_urgent_claim;
     const Millis timeout = is_urgent ? context.init.urgent_checkpoint_timeout
                                      : context.init.checkpoint_timeout;
     if (context.now >= job.state_since + timeout) {
--- a/packages/placement/src/step_p.h
+++ b/packages/placement/src/step_p.h
@@ -26,7 +26,8 @@
   int team = 0;
   int pool = 0;
   size_t rank = 0;  // Its priority, or a higher one for its small slack.
-  bool is_hopeless = false;  // Expected to miss its deadline in any case.
+  bool will_miss_deadline =
+      false;  // Expected to miss its deadline in any case.
   bool is_starved = false;
   WallTime latest_start{};
   WallTime waiting_since{};
@@ -37,18 +38,18 @@
 // --- release.cc ---
 
 // Runs whose worker is lost, or did not confirm in time.
-void RequeueLost(StepContext& context);
+void RequeueLostRuns(StepContext& context);
 // Jobs that failed on several workers that do not fail everything.
-void FailForGood(StepContext& context);
+void FailExhaustedJobs(StepContext& context);
 // Runs on hosts that drain: checkpointed first, then left to end, then stopped.
-void LeaveHosts(StepContext& context);
+void DrainHosts(StepContext& context);
 // Checkpoints that take too long for what waits for them.
 void StopSlowCheckpoints(StepContext& context);
 
 void Checkpoint(StepContext& context, int run, std::string reason);
 void Stop(StepContext& context, int run, std::string reason);
 // Checkpoints a run that can, stops another.
-void EndRun(StepContext& context, int run, const std::string& reason);
+void CheckpointOrStop(StepContext& context, int run, const std::string& reason);
 void Throttle(StepContext& context,
               int run,
               double throttle,
@@ -67,22 +68,22 @@
 // The latest time at which a job can start and still meet its deadline.
 WallTime LatestStart(const model::Job& job, Millis remaining);
 // Workers that speak against the job, of all on which it failed.
-int WorkersAgainst(const model::Job& job,
-                   const WorkerEvidence& evidence,
-                   WallTime now);
+int CountHealthyWorkersFailedOn(const model::Job& job,
+                                const WorkerEvidence& evidence,
+                                WallTime now);
 
 // --- place.cc ---
 
 void PlaceQueue(StepContext& context);
 // Whether a host may ever take the job, room aside.
-bool MayTake(const HostSlot& slot, const QueuedJob& queued);
+bool IsEligibleHost(const HostSlot& slot, const QueuedJob& queued);
 
 // --- preempt.cc ---
 
 enum class RoomResult {
-  kNone,     // No room can be made.
-  kAtOnce,   // Throttling made it: the job can start on `host` now.
-  kWaiting,  // It is on its way; the job has its claim on `host`.
+  kNone,          // No room can be made.
+  kAvailableNow,  // Throttling made it: the job can start on `host` now.
+  kWaiting,       // It is on its way; the job has its claim on `host`.
 };
 
 struct Room {
@@ -99,12 +100,12 @@
 // --- backfill.cc ---
 
 // Keeps the host for a blocked job on which its room is expected first.
-void Reserve(StepContext& context, const QueuedJob& queued);
+void ReserveHost(StepContext& context, const QueuedJob& queued);
 // Whether a job may go beside what the host is kept for.
 bool MayBackfill(const StepContext& context,
                  const HostSlot& slot,
                  const QueuedJob& queued,
                  const model::Resources& size);
-Millis RunRemaining(const StepContext& context, const Run& run);
+Millis RemainingRunTime(const StepContext& context, const Run& run);
 
 }  // namespace laurelhall::placement
