--- a/packages/placement/src/backfill.cc
+++ b/packages/placement/src/backfill.cc
@@ -8,9 +8,10 @@
 
 using model::Resources;
 
-// Blocked jobs of one pool that a host is kept for.
+// Limit of reserved hosts in a pool.
 constexpr int kMaxReservations = 2;
-// How far a run must be over its estimate before starved work may end it.
+// Starved work may end a run that has done more than this many times its
+// estimated work: one that can checkpoint, and one that must be stopped.
 constexpr int kCheckpointOverrunFactor = 2;
 constexpr int kStopOverrunFactor = 10;
 
@@ -19,7 +20,8 @@
   Resources spare;
 };
 
-// When a host will have room, by the runs that are expected to end first.
+// Estimates when a host will have room for the size, if runs end in the order
+// of their remaining run times. Returns nullopt if the room never suffices.
 std::optional<ExpectedRoom> EstimateRoom(const StepContext& context,
                                          const HostSlot& slot,
                                          const Resources& size) {
@@ -31,22 +33,23 @@
     }
   }
   std::sort(ends.begin(), ends.end());
-  ExpectedRoom expected{context.now, slot.expected()};
+  ExpectedRoom room{context.now, slot.expected()};
   for (const auto& [remaining, index] : ends) {
-    if (Fits(size, expected.spare)) {
+    if (Fits(size, room.spare)) {
       break;
     }
-    expected.free_at = context.now + remaining;
-    expected.spare = expected.spare + context.ledger.runs[index].held;
+    room.free_at = context.now + remaining;
+    room.spare = room.spare + context.ledger.runs[index].held;
   }
-  if (!Fits(size, expected.spare)) {
+  if (!Fits(size, room.spare)) {
     return std::nullopt;
   }
-  expected.spare = expected.spare - size;
-  return expected;
+  room.spare = room.spare - size;
+  return room;
 }
 
-// Starved work does not wait for ever for runs that were to end long ago.
+// Ends runs that are far over their estimates, so that a starved job does not
+// wait for them forever. Runs of a higher priority are left.
 void EndOverdueRuns(StepContext& context,
                     const HostSlot& slot,
                     const QueuedJob& queued) {
@@ -85,7 +88,7 @@
     return;
   }
   int best = -1;
-  ExpectedRoom expected;
+  ExpectedRoom room;
   for (const int index : pool.hosts) {
     const HostSlot& slot = context.ledger.hosts[index];
     if (!IsEligibleHost(slot, queued) || slot.reservation.has_value()) {
@@ -94,9 +97,9 @@
     const Resources size =
         context.ledger.SizeOn(slot, *queued.job, queued.size);
     const auto when = EstimateRoom(context, slot, size);
-    if (when.has_value() && (best < 0 || when->free_at < expected.free_at)) {
+    if (when.has_value() && (best < 0 || when->free_at < room.free_at)) {
       best = index;
-      expected = *when;
+      room = *when;
     }
   }
   if (best < 0) {
@@ -104,8 +107,8 @@
   }
   ++pool.reservations;
   HostSlot& slot = context.ledger.hosts[best];
-  slot.reservation = Reservation{queued.job, expected.free_at, expected.spare,
-                                 queued.is_starved};
+  slot.reservation =
+      Reservation{queued.job, room.free_at, room.spare, queued.is_starved};
   if (queued.is_starved) {
     EndOverdueRuns(context, slot, queued);
   }
--- a/packages/placement/src/ledger.cc
+++ b/packages/placement/src/ledger.cc
@@ -11,9 +11,10 @@
 using model::Job;
 using model::Resources;
 
-// When more of a pool's hosts are set aside than this, the fault is elsewhere.
+// Largest share of a pool's hosts that may be closed after failures. If more of
+// them fail, the cause is likely not the hosts.
 constexpr double kMaxSetAsideShare = 0.2;
-// A run that has lasted this long speaks for its worker.
+// A run that has lasted this long counts in favour of its worker.
 constexpr Millis kMinHealthyRunAge{10'000};
 
 int FindOrAddIndex(std::unordered_map<std::string_view, int>& index,
@@ -27,8 +28,9 @@
   return found == index.end() ? -1 : found->second;
 }
 
-// A run that uses more memory than was reserved holds what it uses; processors
-// in use beyond the reserved ones are taken back by throttling it.
+// A run that uses more than was reserved holds what it uses. A throttled run
+// holds only its share of the reserved processors, since throttling takes back
+// those used beyond it.
 Resources HeldResources(const Job& job, const JobUsage* usage) {
   Resources held = job.reserved;
   held.processors *= job.throttle;
@@ -87,8 +89,10 @@
   }
 }
 
-// A worker that has nothing to show for itself gets few runs at first, so that
-// one that fails fast does not draw all that waits.
+// Limits the starts on a worker whose last run did not succeed or that has
+// failures, so that a worker on which jobs fail fast does not receive the whole
+// queue. Each run that has lasted long enough raises the limit by one, each
+// younger run lowers it by one.
 void Ledger::LimitStarts(HostSlot& slot, WallTime now) const {
   slot.max_starts = m_init.max_starts_per_host;
   slot.max_urgent_starts =
@@ -132,8 +136,8 @@
   }
 }
 
-// Sets aside, or leaves to wait after a failure, no more than a share of each
-// pool: those that failed first.
+// Closes the hosts that are set aside or paused after a failure, up to a share
+// of each pool (at least one host): first those that were set aside first.
 void Ledger::CloseFailingHosts(const WorkerEvidence& evidence, WallTime now) {
   for (PoolState& pool : pools) {
     std::vector<std::pair<WallTime, int>> aside;
@@ -142,7 +146,7 @@
       if (evidence.IsSetAside(host.id, now)) {
         aside.emplace_back(evidence.Find(host.id)->set_aside_at, index);
       } else if (evidence.IsPaused(host.id, now)) {
-        // After all that are set aside.
+        // Sorts after all hosts that are set aside.
         aside.emplace_back(now + kMinHealthyRunAge, index);
       }
     }
@@ -157,7 +161,7 @@
   }
 }
 
-// Jobs and usage are both in order of id: one pass over both.
+// Jobs and usage are both ordered by job id, so that one pass merges them.
 void Ledger::AddJobs(const Observations& observations, WallTime now) {
   auto usage = observations.usage.begin();
   const auto end = observations.usage.end();
@@ -215,7 +219,7 @@
   } else if (IsExpectedToEnd(job, now)) {
     slot.releasing = slot.releasing + run.held;
   } else {
-    // A worker that does not answer gets no work until it does.
+    // A worker that did not confirm in time gets no new work until it does.
     slot.is_open = false;
   }
   runs.push_back(run);
@@ -232,12 +236,14 @@
   }
 }
 
-// An ended job's worker holds its part until it confirms, or must have heard.
+// The run of an ended job keeps its resources until its worker confirms, or
+// until the lease timeout has passed.
 bool Ledger::HoldsResources(const Job& job, WallTime now) const {
   return IsRunning(job) || now < job.state_since + m_init.lease_timeout;
 }
 
-// A worker that should have confirmed by now is not waited for.
+// Whether the worker's confirmation may still be expected: a stop's within its
+// timeout, a checkpoint's within the sum of both timeouts.
 bool Ledger::IsExpectedToEnd(const Job& job, WallTime now) const {
   const bool is_checkpoint = IsRunning(job) && !job.is_stopping;
   const Millis bound = is_checkpoint
@@ -285,7 +291,8 @@
   if (team.quota == nullptr) {
     return false;
   }
-  // A correction alone must not put a job beyond what its team can ever run.
+  // A job whose declared size fits the guarantee must not exceed it only
+  // because its estimated size is larger.
   const Resources& guaranteed = team.quota->guaranteed;
   const Resources need =
       Fits(job.declared, guaranteed) ? Min(size, guaranteed) : size;
--- a/packages/placement/src/ledger_p.h
+++ b/packages/placement/src/ledger_p.h
@@ -9,9 +9,9 @@
 #include "laurelhall/placement/placer.h"
 #include "work_p.h"
 
-// What a step knows of hosts, runs and teams, with what it has decided so far.
-// Rebuilt from the committed fleet in every step, so that a new leader needs
-// nothing else.
+// The resources of hosts, runs and teams during a step, updated with the
+// step's own decisions. Rebuilt from the committed fleet in every step, so that
+// a new leader needs no other state.
 namespace laurelhall::placement {
 
 inline constexpr size_t kPriorityCount =
@@ -21,70 +21,77 @@
   return static_cast<size_t>(job.priority);
 }
 
-// A run that holds a part of its host.
+// A run that holds resources of its host.
 struct Run {
   const model::Job* job = nullptr;
   const JobUsage* usage = nullptr;  // Null when none was reported.
   int host = 0;
   int team = 0;
-  model::Resources held;  // What it takes of its host.
+  model::Resources held;  // Taken from the host's capacity.
   double throttle = 1;
-  // Copied from the job, so that a pass over all runs stays off the jobs.
+  // Copied from the job, so that a pass over all runs need not read the jobs.
   WallTime started{};
   double committed_throttle = 1;
   bool is_checkpointing = false;  // As committed.
   bool is_releasing = false;
-  bool is_borrowed = false;  // Beyond its team's guarantee.
+  bool is_borrowed = false;  // Exceeds its team's guarantee.
 };
 
-// The room on a host that a blocked job waits for.
+// Room on a host that is kept for a blocked job.
 struct Reservation {
   const model::Job* job = nullptr;
-  WallTime free_at{};      // When its room is expected.
-  model::Resources spare;  // What stays free beside it.
-  bool excludes_short_jobs =
-      false;  // It has starved: only the spare room is given.
+  WallTime free_at{};      // When the room is expected.
+  model::Resources spare;  // Expected to stay free beside the job.
+  // Set for a starved job: only jobs that fit in `spare` may start, however
+  // short they are.
+  bool excludes_short_jobs = false;
 };
 
 struct HostSlot {
   const model::Host* host = nullptr;
-  bool is_open = false;             // Takes new work.
-  bool last_run_succeeded = false;  // Its last run here succeeded.
-  int failure_score = 0;            // What speaks against it.
+  bool is_open = false;             // Accepts new runs.
+  bool last_run_succeeded = false;  // As far as this leader saw.
+  int failure_score = 0;  // WorkerEvidence::Score(): 0 without failures.
   int rack = 0;
   int zone = 0;
   int starts = 0;  // In this step.
   int max_starts = 0;
   int max_urgent_starts = 0;
   model::Resources free;       // May be below zero when runs use more.
-  model::Resources releasing;  // Held by runs that were told to end.
-  model::Resources claimed;    // Of free and coming, by jobs that wait for it.
+  model::Resources releasing;  // Held by runs told to end, expected soon.
+  // The part of free and releasing that jobs waiting for it have claimed.
+  model::Resources claimed;
   bool has_urgent_claim = false;
   std::vector<int> runs;
   std::optional<Reservation> reservation;
 
-  model::Resources available() const;  // To start in now.
-  model::Resources expected() const;   // Once runs told to end are gone.
+  // Room for a start now.
+  model::Resources available() const;
+  // Room once the runs that were told to end have ended.
+  model::Resources expected() const;
 };
 
 struct TeamUse {
   std::string_view name;
   const model::Quota* quota = nullptr;
-  std::array<model::Resources, kPriorityCount> usage_by_rank;  // By priority.
-  bool has_borrowed_marks = false;  // Its borrowed runs are marked.
+  // Indexed by PriorityRank().
+  std::array<model::Resources, kPriorityCount> usage_by_rank;
+  bool has_borrowed_marks = false;  // MarkBorrowed() was called.
   std::vector<int> runs;
 
   model::Resources UsageUpToRank(size_t rank) const;
   model::Resources total() const { return UsageUpToRank(kPriorityCount - 1); }
 };
 
-// A size that found no room in a pool; sizes at least as large need no look.
+// A job size for which a pool had no room. Jobs at least as large are not tried
+// again in the step.
 struct BlockedSize {
   model::Resources declared;
   model::Resources size;
 };
 
-// The same for room that could not be made by ending other runs.
+// A job size for which no room could be made by throttling or ending runs, for
+// jobs of the same team, rank and guarantee.
 struct BlockedPreemption {
   BlockedSize size;
   int team = 0;
@@ -96,7 +103,8 @@
   std::string_view name;
   std::vector<int> hosts;
   model::Resources capacity;
-  model::Resources held_by_starved;  // Held by runs that had waited too long.
+  // Held by runs that had waited longer than starvation_age.
+  model::Resources held_by_starved;
   std::vector<BlockedSize> blocked;
   std::vector<BlockedPreemption> blocked_preemptions;
   int reservations = 0;
@@ -116,26 +124,28 @@
   std::vector<TeamUse> teams;
   std::vector<PoolState> pools;
   std::vector<const model::Job*> queued_jobs;
-  std::vector<const model::Job*>
-      jobs_on_missing_hosts;  // Their worker is not in service.
+  // Running jobs whose host is not in the fleet.
+  std::vector<const model::Job*> jobs_on_missing_hosts;
 
   int FindHost(std::string_view id) const;
   int FindPool(std::string_view name) const;
   int FindTeam(std::string_view name);
 
-  // What a job is expected to take on a host; a correction never makes it
-  // larger than a host that holds what it declares.
+  // The estimated size of a job on a host. If the declared size fits the host's
+  // capacity, the estimate is limited to that capacity.
   model::Resources SizeOn(const HostSlot& slot,
                           const model::Job& job,
                           const model::Resources& size) const;
 
-  // Whether a job of this size runs within its team's guarantee.
+  // Whether a job of this size would run within its team's guarantee.
   bool IsGuaranteed(const TeamUse& team,
                     const model::Job& job,
                     const model::Resources& size) const;
   bool MayBorrow(const TeamUse& team, const model::Resources& size) const;
 
-  // Marks a team's runs beyond its guarantee: least urgent and latest first.
+  // Marks the team's runs that exceed its guarantee, which covers the most
+  // urgent runs first and among these the earliest started. Does nothing if
+  // called again.
   void MarkBorrowed(TeamUse& team);
 
   void Start(int host,
@@ -145,7 +155,8 @@
   void Throttle(int run, double throttle);
   void Release(int run);
 
-  // Runs of a team in a rack and an availability zone, for spreading.
+  // Numbers of a team's runs, used to spread them over racks and availability
+  // zones.
   int TeamRunsInRack(int team, int rack) const;
   int TeamRunsInZone(int team, int zone) const;
   int TeamRuns(int team) const;
--- a/packages/placement/src/place.cc
+++ b/packages/placement/src/place.cc
@@ -9,7 +9,7 @@
 using model::Priority;
 using model::Resources;
 
-// Weights of what makes a host less fit, beside the room left on it.
+// Weights of the terms that are added to the share of free room left on a host.
 constexpr double kAcceleratorWasteWeight = 4;
 constexpr double kRackSpreadWeight = 0.5;
 constexpr double kZoneSpreadWeight = 0.25;
@@ -29,8 +29,9 @@
   return whole == 0 ? 0 : static_cast<double>(part) / whole;
 }
 
-// Best fit by the resource that the job takes most of: the less of it stays
-// free, the better. Lower is better.
+// Cost of a job on a host; lower is better. Best fit by the resource,
+// processors or memory, of which the job takes the larger share: the less of it
+// stays free, the lower the cost.
 double PlacementCost(const Ledger& ledger,
                      const HostSlot& slot,
                      const QueuedJob& queued,
@@ -107,7 +108,8 @@
 
 void RecordBlockedSize(StepContext& context, const QueuedJob& queued) {
   PoolState& pool = context.ledger.pools[queued.pool];
-  // Where it failed before, others may still go.
+  // A job that failed on some hosts cannot use them, but other jobs of its size
+  // may still fit there.
   if (queued.job->failed_on.empty() && !IsBlockedSize(pool, queued)) {
     pool.blocked.push_back({queued.job->declared, queued.size});
   }
@@ -164,7 +166,8 @@
                                   queued.size);
 }
 
-// How much a team has of what it is guaranteed; the least served goes first.
+// The share of its guarantee that a team uses, or of the whole fleet if it has
+// no guarantee. The team with the smallest share goes first.
 double ServedShare(const TeamUse& team, const Resources& fleet) {
   const Resources& whole =
       team.quota != nullptr && team.quota->guaranteed.processors > 0
@@ -173,6 +176,7 @@
   return DominantShare(team.total(), whole);
 }
 
+// Queued jobs of one rank that would exceed their teams' guarantees.
 class BorrowingQueue {
  public:
   explicit BorrowingQueue(StepContext& context) : m_context(context) {
@@ -189,7 +193,8 @@
     m_waiting[team].push_back(queued);
   }
 
-  // Starts what fits, always of the team that has least of its guarantee.
+  // Tries all jobs, each time the next job of the team with the smallest served
+  // share.
   void Place() {
     for (int team = NextTeam(); team >= 0; team = NextTeam()) {
       const QueuedJob& queued = *m_waiting[team].front();
@@ -226,7 +231,7 @@
 }  // namespace
 
 bool IsEligibleHost(const HostSlot& slot, const QueuedJob& queued) {
-  // Urgent work does not wait for a worker to prove itself.
+  // Urgent work need not wait until a run on the worker has succeeded.
   const bool is_urgent = queued.job->priority == Priority::kUrgent;
   const int max_starts = is_urgent ? slot.max_urgent_starts : slot.max_starts;
   if (!slot.is_open || slot.starts >= max_starts ||
@@ -238,8 +243,8 @@
          failed_on.end();
 }
 
-// First all that teams are guaranteed, in the order of admission; then, in the
-// same order of priority, what they borrow.
+// First places the jobs within their teams' guarantees, in the order of
+// admission; then, rank by rank, the jobs that borrow.
 void PlaceQueue(StepContext& context) {
   const std::vector<QueuedJob> queue = OrderQueue(context);
   std::array<std::vector<const QueuedJob*>, kPriorityCount> borrowing;
--- a/packages/placement/src/placement_p.h
+++ b/packages/placement/src/placement_p.h
@@ -7,15 +7,15 @@
 
 #include "laurelhall/model/fleet.h"
 
-// Arithmetic on resources and what a job's state means, for all of placement.
+// Arithmetic on resources and predicates on job states.
 namespace laurelhall::placement {
 
-// Sums of doubles may miss by this much without meaning it.
-inline constexpr double kEpsilon = 1e-6;
+// Tolerance for the rounding errors of sums of doubles.
+inline constexpr double kResourceTolerance = 1e-6;
 
 inline bool Fits(const model::Resources& need, const model::Resources& room) {
-  return need.processors <= room.processors + kEpsilon &&
-         need.memory_gb <= room.memory_gb + kEpsilon &&
+  return need.processors <= room.processors + kResourceTolerance &&
+         need.memory_gb <= room.memory_gb + kResourceTolerance &&
          need.accelerators <= room.accelerators;
 }
 
@@ -45,7 +45,7 @@
           a.accelerators - b.accelerators};
 }
 
-// The largest share that `part` takes of `whole`, over all resources.
+// The largest share that `part` takes of `whole` in any one resource.
 inline double DominantShare(const model::Resources& part,
                             const model::Resources& whole) {
   double share = 0;
@@ -73,7 +73,7 @@
          job.state == model::JobState::kCheckpointing;
 }
 
-// Its worker was told to end the run, and has not confirmed yet.
+// Whether the worker was told to end the run and has not confirmed yet.
 inline bool IsReleasing(const model::Job& job) {
   return job.state == model::JobState::kCheckpointing || job.is_stopping;
 }
--- a/packages/placement/src/preempt.cc
+++ b/packages/placement/src/preempt.cc
@@ -9,20 +9,21 @@
 using model::Priority;
 using model::Resources;
 
-// Sizes that found no room in one pool and step before the rest is left.
+// After this many failed attempts to make room in a pool, none are made in the
+// rest of the step.
 constexpr int kMaxFailuresPerPool = 64;
 
-// Who asks for room, and by which right.
+// The job that needs room, and what entitles it to preempt runs.
 struct Claimant {
   const QueuedJob& queued;
   bool is_urgent = false;
   bool is_guaranteed = false;
 };
 
-// What ending a run costs; compared in this order.
+// Cost of ending a run; fields are compared in this order.
 struct VictimCost {
-  bool is_guaranteed = false;  // It is within its own team's guarantee.
-  int urgency = 0;             // 0 for batch.
+  bool is_guaranteed = false;  // Within another team's guarantee.
+  int urgency = 0;             // 1 for batch.
   Millis work_lost{0};
   int run = 0;
 
@@ -32,10 +33,10 @@
   }
 };
 
-// What making room on one host costs; compared in this order.
+// Cost of making room on one host; fields are compared in this order.
 struct RoomCost {
   bool takes_guaranteed = false;
-  bool ends_runs = false;  // Else throttling is enough.
+  bool ends_runs = false;  // Otherwise throttling suffices.
   Millis work_lost{0};
   size_t victims = 0;
 
@@ -51,17 +52,18 @@
   std::vector<int> victims;
 };
 
-// Whether an owner still waits for borrowed runs to end by themselves, before
-// work is lost for its quota.
+// Whether a job within its team's guarantee still waits for borrowed runs to
+// end on their own, before runs that cannot checkpoint are stopped for it.
 bool WaitsForBorrowers(const StepContext& context, const QueuedJob& queued) {
-  const Millis patience = context.init.reclaim_patience;
-  return context.now < queued.waiting_since + patience &&
-         context.now + patience < queued.latest_start;
+  const Millis max_wait = context.init.reclaim_patience;
+  return context.now < queued.waiting_since + max_wait &&
+         context.now + max_wait < queued.latest_start;
 }
 
-// Urgent work within its team's guarantee may take from all that is less
-// urgent; borrowing, from what is borrowed or its own. Other work within the
-// guarantee takes back what others borrow.
+// Urgent work within its team's guarantee may preempt any less urgent run;
+// urgent work that borrows, only less urgent runs that are borrowed or of its
+// own team. Other work within the guarantee may preempt borrowed runs of other
+// teams, and less urgent ones of its own.
 bool CanPreempt(StepContext& context, const Claimant& claimant, int index) {
   Ledger& ledger = context.ledger;
   const Run& run = ledger.runs[index];
@@ -104,7 +106,7 @@
   return run.job->reserved.processors * share;
 }
 
-// Runs on a host that the claimant may take from, cheapest first.
+// Runs on a host that the claimant may preempt, cheapest first.
 std::vector<VictimCost> FindVictims(StepContext& context,
                                     const Claimant& claimant,
                                     const HostSlot& slot) {
@@ -139,8 +141,8 @@
   return plan;
 }
 
-// Takes the cheapest until there is room, then spares, from the dearest on,
-// those that the room does not need.
+// Selects the cheapest runs until there is room. Then drops, starting with the
+// most expensive, those that turn out not to be needed for it.
 std::optional<RoomPlan> PlanEnding(const StepContext& context,
                                    const std::vector<VictimCost>& victims,
                                    const HostSlot& slot,
@@ -203,7 +205,8 @@
   use = use + size;
 }
 
-// The first host whose room is on its way, from this step or an earlier one.
+// The first host that will have room once runs have ended that this step or an
+// earlier one told to end.
 int FindHostWithExpectedRoom(const StepContext& context,
                              const QueuedJob& queued) {
   for (const int index : context.ledger.pools[queued.pool].hosts) {
@@ -254,8 +257,9 @@
   }
 }
 
-// Whether a checkpoint that fails would make an urgent job start too late: its
-// second try, after a worker that did not answer, must be a stop.
+// Whether a checkpoint that fails would make an urgent job start too late. Then
+// the runs are stopped at once, e.g. in a second attempt, after a worker did
+// not answer in the first.
 bool MustStopWithoutCheckpoint(const StepContext& context,
                                const Claimant& claimant) {
   const PlacerInit& init = context.init;
--- a/packages/placement/src/pressure.cc
+++ b/packages/placement/src/pressure.cc
@@ -6,7 +6,7 @@
 namespace laurelhall::placement {
 namespace {
 
-// What a run that bursts over its reserved processors is brought back to.
+// The throttle of a run that used more than its reserved processors.
 constexpr double kBurstThrottle = 0.95;
 
 double MemoryOveruse(const Run& run) {
@@ -17,29 +17,31 @@
   for (const int index : slot.runs) {
     const Run& run = context.ledger.runs[index];
     const double reserved = run.job->reserved.processors;
-    const bool bursts = run.held.processors > reserved + kEpsilon;
-    if (!run.is_releasing && bursts && slot.free.processors < -kEpsilon) {
+    const bool bursts = run.held.processors > reserved + kResourceTolerance;
+    if (!run.is_releasing && bursts &&
+        slot.free.processors < -kResourceTolerance) {
       Throttle(context, index, kBurstThrottle,
                "host " + slot.host->id + " has no processors left");
     }
   }
 }
 
-// Ends the least urgent runs first; of these those that use more than was
-// reserved for them, and of these, those that lose no work.
+// Ends runs until the host's memory suffices: the least urgent first; among
+// these, those that use more memory than was reserved; among these, those that
+// can checkpoint and lose no work.
 void EndRunsForMemory(StepContext& context, const HostSlot& slot) {
   std::vector<int> order = slot.runs;
   const std::vector<Run>& runs = context.ledger.runs;
   const auto key = [&runs](int index) {
     const Run& run = runs[index];
     const double overuse = MemoryOveruse(run);
-    return std::tuple(run.job->priority, overuse > kEpsilon,
+    return std::tuple(run.job->priority, overuse > kResourceTolerance,
                       run.job->can_checkpoint, overuse);
   };
   std::stable_sort(order.begin(), order.end(),
                    [&key](int a, int b) { return key(b) < key(a); });
   for (const int index : order) {
-    if (slot.free.memory_gb + slot.releasing.memory_gb >= -kEpsilon) {
+    if (slot.free.memory_gb + slot.releasing.memory_gb >= -kResourceTolerance) {
       return;
     }
     if (!runs[index].is_releasing) {
@@ -56,18 +58,18 @@
     if (slot.host->state != model::HostState::kInPool) {
       continue;
     }
-    if (slot.free.processors < -kEpsilon) {
+    if (slot.free.processors < -kResourceTolerance) {
       ThrottleBursts(context, slot);
     }
-    if (slot.free.memory_gb < -kEpsilon) {
+    if (slot.free.memory_gb < -kResourceTolerance) {
       EndRunsForMemory(context, slot);
     }
   }
 }
 
-// Gives processors back once the host has all that the run had, twice over
-// for a small throttle: a run that bursts must not be lifted and throttled in
-// turn.
+// Lifts a throttle once the host has the processors free that the run lacks.
+// After a burst throttle it must have all of the run's reserved processors
+// free, so that a run that bursts is not lifted and throttled in turn.
 void LiftThrottles(StepContext& context) {
   for (size_t i = 0; i < context.ledger.runs.size(); ++i) {
     const Run& run = context.ledger.runs[i];
--- a/packages/placement/src/queue.cc
+++ b/packages/placement/src/queue.cc
@@ -9,9 +9,11 @@
 using model::Job;
 using model::Priority;
 
-// A job without a deadline is ordered as if it had this long.
+// A job without a deadline is ordered as if it had to start within this time of
+// its submission.
 constexpr Millis kDefaultSlack{24 * 3'600'000};
-// The part of a pool that goes to work that has waited too long.
+// No more jobs count as starved once runs that had starved hold this share of
+// their pool.
 constexpr double kMaxStarvedShare = 0.1;
 
 void ComputeOrder(const StepContext& context, QueuedJob& queued) {
@@ -35,8 +37,9 @@
   }
 }
 
-// Urgent first; then what has starved, then by latest start. What can no
-// longer finish in time goes last: it must not make others late as well.
+// Orders by rank, then starved jobs first, then by latest start. Jobs that can
+// no longer meet their deadlines go last in their rank, so that they do not
+// make others late as well.
 bool GoesBefore(const QueuedJob& a, const QueuedJob& b) {
   if (a.rank != b.rank) {
     return a.rank < b.rank;
--- a/packages/placement/src/release.cc
+++ b/packages/placement/src/release.cc
@@ -8,7 +8,8 @@
 using model::HostState;
 using model::Job;
 
-// A run that is expected to end within this is left to end on its own.
+// On a draining host, a run that is expected to end within this time is left to
+// end on its own.
 constexpr Millis kMaxRemainingWithoutCheckpoint{60'000};
 
 JobAction MakeAction(const Job& job, JobActionKind kind, std::string reason) {
@@ -25,8 +26,9 @@
   return state == HostState::kInPool || state == HostState::kDraining;
 }
 
-// Why a run must be taken for ended, or empty. A lost worker ends its runs
-// when its leases run out: before that no other worker may start them.
+// The reason to requeue a run whose worker is lost, or empty. A lost worker
+// ends its runs when its leases expire; before that no other worker may start
+// them.
 std::string RequeueReason(const StepContext& context, const Run& run) {
   const Job& job = *run.job;
   const model::Host& host = *context.ledger.hosts[run.host].host;
@@ -62,7 +64,8 @@
   }
 }
 
-// Hosts of a pool that could run a job at all; few hosts mean fewer tries.
+// Number of hosts in service in the job's pool that could run it. If there are
+// few, the job is failed after fewer attempts.
 int CountEligibleHosts(const Ledger& ledger, const Job& job) {
   const int pool = ledger.FindPool(job.pool);
   if (pool < 0) {
--- a/packages/placement/src/work_p.h
+++ b/packages/placement/src/work_p.h
@@ -4,11 +4,11 @@
 
 #include "placement_p.h"
 
-// How much a run has done, from its committed times.
+// The work that a run has done, computed from its committed times.
 namespace laurelhall::placement {
 
-// Run time at full speed since the run started. A throttle is taken to have
-// held all along, which says too little rather than too much.
+// Run time at full speed since the run started. The current throttle is applied
+// to the whole run, so that the result is too low rather than too high.
 inline Millis WorkSinceStart(const model::Job& job, WallTime now) {
   if (!IsRunning(job) || now <= job.started) {
     return Millis(0);
@@ -17,7 +17,7 @@
   return Millis(std::llround(elapsed * job.throttle));
 }
 
-// The same over all runs, checkpoints included.
+// Work of the current run and the work kept from earlier runs (checkpoints).
 inline Millis WorkDone(const model::Job& job, WallTime now) {
   return job.work_done + WorkSinceStart(job, now);
 }
