--- a/packages/placement/include/laurelhall/placement/drain_cost.h
+++ b/packages/placement/include/laurelhall/placement/drain_cost.h
@@ -7,13 +7,13 @@
 
 namespace laurelhall::placement {
 
-/// What draining one host now would cost its jobs.
+/// The jobs and the work that draining one host now would affect.
 struct HostDrainCost {
   std::string host;
   int urgent_jobs = 0;
   int jobs = 0;
-  Millis work_lost{0};   ///< Processor time that no checkpoint keeps.
-  Millis work_moved{0};  ///< Processor time that checkpoints keep.
+  Millis work_lost{0};   ///< Processor time of runs that cannot checkpoint.
+  Millis work_moved{0};  ///< Processor time of runs that can checkpoint.
 
   friend bool operator==(const HostDrainCost&, const HostDrainCost&) = default;
 };
@@ -21,20 +21,20 @@
                       (),
                       (host, urgent_jobs, jobs, work_lost, work_moved))
 
-/// Returns what draining a host now would cost. Thread-safe.
+/// Returns the cost of draining a host now. Thread-safe.
 ///
 /// @param now The leader's wall time.
-HostDrainCost DrainCost(const model::Fleet& fleet,
-                        const std::string& host,
-                        WallTime now);
+HostDrainCost ComputeDrainCost(const model::Fleet& fleet,
+                               const std::string& host,
+                               WallTime now);
 
-/// Returns the cost of each host of a pool, the cheapest first.
+/// Returns the drain cost of each host of a pool in ascending order.
 ///
-/// @param pool Empty for all pools.
-/// @remarks Fewest urgent jobs first, then least work lost, least work moved,
-///   and host id. One pass over the jobs. Thread-safe.
-std::vector<HostDrainCost> CheapestToDrain(const model::Fleet& fleet,
-                                           const std::string& pool,
-                                           WallTime now);
+/// @param pool Pool name; empty selects the hosts of all pools.
+/// @remarks Ordered by number of urgent jobs, work lost, work moved and host
+///   id. Iterates over the jobs once. Thread-safe.
+std::vector<HostDrainCost> HostsByDrainCost(const model::Fleet& fleet,
+                                            const std::string& pool,
+                                            WallTime now);
 
 }  // namespace laurelhall::placement
--- a/packages/placement/include/laurelhall/placement/estimates.h
+++ b/packages/placement/include/laurelhall/placement/estimates.h
@@ -9,50 +9,52 @@
 
 namespace laurelhall::placement {
 
-/// What was measured against what was declared.
+/// The quantity whose measured value is divided by its declared value.
 enum class RatioKind { kRunTime, kProcessors, kMemory, kCount };
 
-/// The last ratios of one team's kind of job, oldest first.
+/// The most recent ratios of measured to declared values for one team and kind
+/// of job, oldest first.
 struct KindEstimates {
   std::string team;
   std::string kind;
   std::vector<float> run_time;
   std::vector<float> processors;
   std::vector<float> memory;
-  uint64_t last_used = 0;  ///< Order of use; the oldest kind is dropped first.
+  uint64_t last_used =
+      0;  ///< Update sequence number; the lowest is evicted first.
 };
 BOOST_DESCRIBE_STRUCT(KindEstimates,
                       (),
                       (team, kind, run_time, processors, memory, last_used))
 
-/// Corrects declared sizes and run times by what was seen of the same team's
-/// kind of job.
+/// Corrects the declared sizes and run times of jobs by the values measured on
+/// earlier jobs of the same team and kind.
 ///
-/// @remarks Bounded: 16 ratios a figure, 512 kinds. An estimate is a high
-///   quantile of the window, so that one or two outliers do not move it. Not
-///   thread-safe.
+/// @remarks Memory is bounded: 16 ratios per quantity and 512 kinds. An
+///   estimate is a high quantile of the recent ratios, so that one or two
+///   outliers do not change it. Not thread-safe.
 class Estimates {
  public:
-  static constexpr size_t kWindow = 16;
+  static constexpr size_t kWindowSize = 16;
   static constexpr size_t kMaxKinds = 512;
 
-  /// Learns from a run that succeeded.
+  /// Adds the measurements of a job that succeeded.
   ///
-  /// @param work Its run time at full speed, earlier runs included.
-  /// @param peak The most it used.
+  /// @param work Run time of the job at full speed, earlier runs included.
+  /// @param peak Peak resource usage of the job.
   void Learn(const model::Job& job, Millis work, const model::Resources& peak);
 
-  /// Expected whole run time at full speed.
+  /// Returns the expected total run time at full speed.
   Millis RunTime(const model::Job& job) const;
 
-  /// Expected size; accelerators are as declared.
+  /// Returns the expected resource usage; accelerators are as declared.
   model::Resources Size(const model::Job& job) const;
 
-  /// Expected time that a job still needs at full speed.
+  /// Returns the expected time that a job still needs at full speed.
   ///
-  /// @param work What it has done so far.
-  /// @remarks Past its estimate it grows with age: a job that has run for
-  ///   long is expected to run for half as long again.
+  /// @param work Run time at full speed so far, earlier runs included.
+  /// @remarks For a job that has reached its estimate this is half of the run
+  ///   time so far, and at least 1 ms.
   Millis Remaining(const model::Job& job, Millis work) const;
 
   std::vector<KindEstimates> Save() const;
@@ -73,17 +75,21 @@
   struct Window {
     std::array<std::vector<float>, static_cast<size_t>(RatioKind::kCount)>
         ratios;
-    // The quantile of each window, kept so that reading costs a look-up.
+    // The quantile of each list of ratios, computed on update so that a read
+    // does not sort.
     std::array<float, static_cast<size_t>(RatioKind::kCount)> quantile{1, 1, 1};
     uint64_t last_used = 0;
   };
 
-  const Window* Find(const model::Job& job) const;
-  void Add(Window& window, RatioKind kind, double seen, double declared);
-  void DropOldest();
+  const Window* FindWindow(const model::Job& job) const;
+  void AddRatio(Window& window,
+                RatioKind kind,
+                double measured,
+                double declared);
+  void EvictLeastRecentlyUpdated();
 
   std::map<Key, Window, KeyLess> m_windows;
-  uint64_t m_uses = 0;
+  uint64_t m_last_sequence = 0;
 };
 
 }  // namespace laurelhall::placement
--- a/packages/placement/include/laurelhall/placement/explain.h
+++ b/packages/placement/include/laurelhall/placement/explain.h
@@ -7,17 +7,19 @@
 
 namespace laurelhall::placement {
 
-/// Says why a job is where it is, or why it waits, one sentence a line.
+/// Explains the state of a job: why it is queued, where it runs or when it
+/// ended. Each element is one sentence.
 ///
-/// @param placer Whose estimates and bounds decide.
-/// @param job_id Any id; an unknown one is said to be unknown.
-/// @remarks Thread-safe while nobody changes the placer.
+/// @param placer Provides the estimates, worker evidence and limits.
+/// @param job_id Any id; for an unknown one the result says so.
+/// @remarks Thread-safe while no other thread modifies the placer.
 std::vector<std::string> ExplainJob(const model::Fleet& fleet,
                                     const Placer& placer,
                                     const std::string& job_id,
                                     WallTime now);
 
-/// The same with declared figures alone, where no placer is at hand.
+/// Same as above with a default Placer, which uses the declared sizes and run
+/// times.
 std::vector<std::string> ExplainJob(const model::Fleet& fleet,
                                     const std::string& job_id,
                                     WallTime now);
--- a/packages/placement/include/laurelhall/placement/submission.h
+++ b/packages/placement/include/laurelhall/placement/submission.h
@@ -7,12 +7,13 @@
 
 namespace laurelhall::placement {
 
-/// Says why a job can never run as it was declared, or nothing when it can.
+/// Returns why a job can never run as declared, or nullopt if it can.
 ///
 /// @param fleet The committed fleet.
-/// @param job As submitted; `submitted` is set.
-/// @returns The reason for the caller, with the figures it rests on.
-/// @remarks Thread-safe. Hosts that are away count: they come back.
+/// @param job The submitted job, with `submitted` set.
+/// @returns A message for the caller that includes the values compared.
+/// @remarks Thread-safe. All hosts of the pool that are not retired count, also
+///   unavailable ones, because they can return.
 std::optional<std::string> CheckSubmission(const model::Fleet& fleet,
                                            const model::Job& job);
 
--- a/packages/placement/include/laurelhall/placement/worker_evidence.h
+++ b/packages/placement/include/laurelhall/placement/worker_evidence.h
@@ -10,7 +10,8 @@
 
 namespace laurelhall::placement {
 
-/// One job's failure on one worker, as far as it speaks against the worker.
+/// The failure of one job on one worker, weighed as evidence of a faulty
+/// worker.
 struct FailureEvidence {
   std::string job;
   std::string kind;         ///< Team and kind of the job.
@@ -19,15 +20,17 @@
 };
 BOOST_DESCRIBE_STRUCT(FailureEvidence, (), (job, kind, is_blamed, is_excused))
 
-/// What speaks against one worker.
+/// The evidence of faults of one worker. It is set aside (quarantined: it gets
+/// no jobs) from `set_aside_at` to `set_aside_until`.
 struct WorkerRecord {
   std::string host;
   std::vector<FailureEvidence> failures;
   WallTime last_failure{};
   WallTime set_aside_at{};
   WallTime set_aside_until{};
-  int times_set_aside = 0;  ///< Doubles how long; forgiven by successes.
-  int successes = 0;        ///< Since the last failure.
+  int times_set_aside =
+      0;              ///< Each doubles the next time; successes reduce it.
+  int successes = 0;  ///< Since the last failure.
 };
 BOOST_DESCRIBE_STRUCT(WorkerRecord,
                       (),
@@ -39,15 +42,17 @@
                        times_set_aside,
                        successes))
 
-/// Tells workers that fail everything from jobs that fail everywhere.
+/// Distinguishes faulty workers, which fail all jobs, from faulty jobs, which
+/// fail on all workers.
 ///
-/// A failure speaks against its worker until the job fails on another worker
-/// too (then it speaks against the job) and twice as loud once the job has
-/// succeeded on another one. Failures of one kind of job count once, so that a
-/// broken kind does not set workers aside.
+/// A failure adds 1 to the score of its worker. It is excused, and adds
+/// nothing, once the job fails on another worker too. It is blamed on the
+/// worker, and adds 2, once the job succeeds on another worker. Failures of one
+/// kind of job that are neither count once, so that a broken kind of job does
+/// not get workers quarantined.
 ///
-/// @remarks Bounded: 8 failures a worker, 4,096 workers, and nothing is saved
-///   of a worker without a failure. Not thread-safe.
+/// @remarks Memory is bounded: 8 failures per worker and 4,096 workers. Nothing
+///   is saved for a worker without a failure. Not thread-safe.
 class WorkerEvidence {
  public:
   void NoteFailure(const model::Job& job,
@@ -57,36 +62,39 @@
                    const std::string& host,
                    WallTime now);
 
-  /// Whether the worker gets no work now.
+  /// Returns whether the worker is quarantined and must get no jobs.
   bool IsSetAside(std::string_view host, WallTime now) const;
 
-  /// Whether the worker failed so lately that it must wait for its next try.
+  /// Returns whether the worker is in the backoff that follows a failure and
+  /// must not start a job yet.
   bool IsPaused(std::string_view host, WallTime now) const;
 
-  /// Whether the worker's last run succeeded, as far as this leader saw.
+  /// Returns whether a job succeeded on the worker since its last failure that
+  /// was not excused, as far as this leader has seen.
   bool IsProven(std::string_view host) const;
 
-  /// How much speaks against it; 0 for a worker without a record.
+  /// Returns the sum of the evidence; 0 for a worker without a record.
   int Score(std::string_view host) const;
 
-  /// The record, or null.
+  /// Returns the record of the worker, or null.
   const WorkerRecord* Find(std::string_view host) const;
 
   std::vector<WorkerRecord> Save() const;
   void Load(const std::vector<WorkerRecord>& saved);
 
  private:
-  bool ExcuseOthers(const model::Job& job,
-                    const std::string& host,
-                    WallTime now);
-  WorkerRecord& RecordOf(const std::string& host);
-  void SetAside(WorkerRecord& record, WallTime now);
-  void Forgive(WorkerRecord& record);
-  void SetAsideIfDue(WorkerRecord& record, WallTime now);
+  bool ExcuseOtherWorkers(const model::Job& job,
+                          const std::string& host,
+                          WallTime now);
+  WorkerRecord& FindOrAddRecord(const std::string& host);
+  void Quarantine(WorkerRecord& record, WallTime now);
+  void CreditSuccess(WorkerRecord& record);
+  void QuarantineIfDue(WorkerRecord& record, WallTime now);
 
   std::map<std::string, WorkerRecord, std::less<>> m_records;
-  // Not saved: a new leader is only more careful until it has seen a success.
-  std::set<std::string, std::less<>> m_proven;
+  // Not saved: a new leader only places fewer first jobs on a worker until it
+  // has seen a success there.
+  std::set<std::string, std::less<>> m_succeeded_hosts;
 };
 
 }  // namespace laurelhall::placement
--- a/packages/placement/src/drain_cost.cc
+++ b/packages/placement/src/drain_cost.cc
@@ -21,9 +21,9 @@
 
 }  // namespace
 
-HostDrainCost DrainCost(const model::Fleet& fleet,
-                        const std::string& host,
-                        WallTime now) {
+HostDrainCost ComputeDrainCost(const model::Fleet& fleet,
+                               const std::string& host,
+                               WallTime now) {
   HostDrainCost cost;
   cost.host = host;
   for (const auto& [id, job] : fleet.jobs) {
@@ -34,9 +34,9 @@
   return cost;
 }
 
-std::vector<HostDrainCost> CheapestToDrain(const model::Fleet& fleet,
-                                           const std::string& pool,
-                                           WallTime now) {
+std::vector<HostDrainCost> HostsByDrainCost(const model::Fleet& fleet,
+                                            const std::string& pool,
+                                            WallTime now) {
   std::map<std::string_view, HostDrainCost> by_host;
   for (const auto& [id, host] : fleet.hosts) {
     if (pool.empty() || host.pool == pool) {
--- a/packages/placement/src/estimates.cc
+++ b/packages/placement/src/estimates.cc
@@ -8,15 +8,16 @@
 
 constexpr float kMinRatio = 1.0F / 32;
 constexpr float kMaxRatio = 32;
-// With fewer ratios than this, the declared figure stands in for the rest.
-constexpr size_t kPriorWeight = 3;
-constexpr double kOverrunShare = 0.5;
-// Room over the learned memory, for the runs beyond the quantile: many small
-// misses on one host would add up to more than it has.
+// A list with fewer ratios than this is filled up with 1, the declared value.
+constexpr size_t kMinRatioCount = 3;
+constexpr double kOverrunRemainingShare = 0.5;
+// Factor on the estimated memory for the runs above the quantile: many small
+// underestimates on one host would add up to more memory than it has.
 constexpr double kMemoryHeadroom = 1.1;
 
-// Sizes are taken high, since too little memory costs a run; run times at
-// three quarters, since a late start costs a deadline.
+// Indexed by RatioKind. Memory uses a high quantile because a run with too
+// little memory is lost. Run time uses the 0.75 quantile because a job that
+// starts too late misses its deadline.
 constexpr std::array<double, static_cast<size_t>(RatioKind::kCount)> kQuantile =
     {0.75, 0.75, 0.9};
 
@@ -26,16 +27,16 @@
 
 float QuantileOf(const std::vector<float>& ratios, double quantile) {
   std::vector<float> sorted = ratios;
-  while (sorted.size() < kPriorWeight) {
+  while (sorted.size() < kMinRatioCount) {
     sorted.push_back(1);
   }
   std::sort(sorted.begin(), sorted.end());
-  const double place = quantile * static_cast<double>(sorted.size() - 1);
-  return sorted[static_cast<size_t>(std::floor(place))];
+  const double rank = quantile * static_cast<double>(sorted.size() - 1);
+  return sorted[static_cast<size_t>(std::floor(rank))];
 }
 
-// A job that keeps to what it declares gets no more than that.
-double WithHeadroom(double ratio) {
+// Adds no headroom beyond the declared memory unless the estimate exceeds it.
+double WithMemoryHeadroom(double ratio) {
   return ratio > 1 ? ratio * kMemoryHeadroom
                    : std::min(1.0, ratio * kMemoryHeadroom);
 }
@@ -46,46 +47,47 @@
                       Millis work,
                       const model::Resources& peak) {
   Window& window = m_windows[Key(job.team, job.kind)];
-  window.last_used = ++m_uses;
-  Add(window, RatioKind::kRunTime, static_cast<double>(work.count()),
-      static_cast<double>(job.declared_run_time.count()));
-  Add(window, RatioKind::kProcessors, peak.processors, job.declared.processors);
-  Add(window, RatioKind::kMemory, peak.memory_gb, job.declared.memory_gb);
+  window.last_used = ++m_last_sequence;
+  AddRatio(window, RatioKind::kRunTime, static_cast<double>(work.count()),
+           static_cast<double>(job.declared_run_time.count()));
+  AddRatio(window, RatioKind::kProcessors, peak.processors,
+           job.declared.processors);
+  AddRatio(window, RatioKind::kMemory, peak.memory_gb, job.declared.memory_gb);
   if (m_windows.size() > kMaxKinds) {
-    DropOldest();
+    EvictLeastRecentlyUpdated();
   }
 }
 
-void Estimates::Add(Window& window,
-                    RatioKind kind,
-                    double seen,
-                    double declared) {
-  if (seen <= 0 || declared <= 0) {
+void Estimates::AddRatio(Window& window,
+                         RatioKind kind,
+                         double measured,
+                         double declared) {
+  if (measured <= 0 || declared <= 0) {
     return;
   }
   std::vector<float>& ratios = window.ratios[IndexOf(kind)];
-  ratios.push_back(
-      std::clamp(static_cast<float>(seen / declared), kMinRatio, kMaxRatio));
-  if (ratios.size() > kWindow) {
+  ratios.push_back(std::clamp(static_cast<float>(measured / declared),
+                              kMinRatio, kMaxRatio));
+  if (ratios.size() > kWindowSize) {
     ratios.erase(ratios.begin());
   }
   window.quantile[IndexOf(kind)] = QuantileOf(ratios, kQuantile[IndexOf(kind)]);
 }
 
-void Estimates::DropOldest() {
+void Estimates::EvictLeastRecentlyUpdated() {
   m_windows.erase(std::min_element(
       m_windows.begin(), m_windows.end(), [](const auto& a, const auto& b) {
         return a.second.last_used < b.second.last_used;
       }));
 }
 
-const Estimates::Window* Estimates::Find(const model::Job& job) const {
+const Estimates::Window* Estimates::FindWindow(const model::Job& job) const {
   const auto found = m_windows.find(KeyView(job.team, job.kind));
   return found == m_windows.end() ? nullptr : &found->second;
 }
 
 Millis Estimates::RunTime(const model::Job& job) const {
-  const Window* window = Find(job);
+  const Window* window = FindWindow(job);
   if (window == nullptr) {
     return job.declared_run_time;
   }
@@ -96,21 +98,22 @@
 
 model::Resources Estimates::Size(const model::Job& job) const {
   model::Resources size = job.declared;
-  if (const Window* window = Find(job)) {
+  if (const Window* window = FindWindow(job)) {
     size.processors *= window->quantile[IndexOf(RatioKind::kProcessors)];
     size.memory_gb *=
-        WithHeadroom(window->quantile[IndexOf(RatioKind::kMemory)]);
+        WithMemoryHeadroom(window->quantile[IndexOf(RatioKind::kMemory)]);
   }
-  // Its own earlier run says more than its kind does.
+  // The peak of the job's own earlier runs is a lower bound.
   size.memory_gb = std::max(size.memory_gb, job.peak.memory_gb);
   return size;
 }
 
 Millis Estimates::Remaining(const model::Job& job, Millis work) const {
-  const Millis by_estimate = RunTime(job) - work;
-  const Millis by_age(
-      std::llround(static_cast<double>(work.count()) * kOverrunShare));
-  return by_estimate > Millis(0) ? by_estimate : std::max(by_age, Millis(1));
+  const Millis until_estimate = RunTime(job) - work;
+  const Millis after_overrun(
+      std::llround(static_cast<double>(work.count()) * kOverrunRemainingShare));
+  return until_estimate > Millis(0) ? until_estimate
+                                    : std::max(after_overrun, Millis(1));
 }
 
 std::vector<KindEstimates> Estimates::Save() const {
@@ -127,7 +130,7 @@
 
 void Estimates::Load(const std::vector<KindEstimates>& saved) {
   m_windows.clear();
-  m_uses = 0;
+  m_last_sequence = 0;
   for (const KindEstimates& kind : saved) {
     Window& window = m_windows[Key(kind.team, kind.kind)];
     window.ratios = {kind.run_time, kind.processors, kind.memory};
@@ -135,7 +138,7 @@
       window.quantile[i] = QuantileOf(window.ratios[i], kQuantile[i]);
     }
     window.last_used = kind.last_used;
-    m_uses = std::max(m_uses, kind.last_used);
+    m_last_sequence = std::max(m_last_sequence, kind.last_used);
   }
 }
 
--- a/packages/placement/src/explain.cc
+++ b/packages/placement/src/explain.cc
@@ -13,8 +13,8 @@
 using Lines = std::vector<std::string>;
 
 void ExplainQueued(StepContext& context, const Job& job, Lines& lines) {
-  if (const auto never = CheckSubmission(context.fleet, job)) {
-    lines.push_back("It can never run: " + *never + ".");
+  if (const auto rejection = CheckSubmission(context.fleet, job)) {
+    lines.push_back("It can never run: " + *rejection + ".");
   }
   if (context.now < job.not_before) {
     lines.push_back("It failed " + std::to_string(job.failures) +
@@ -22,15 +22,15 @@
                     FormatWallTime(job.not_before) + ".");
   }
   const std::vector<QueuedJob> queue = OrderQueue(context);
-  int ahead = 0;
+  int jobs_ahead = 0;
   for (const QueuedJob& queued : queue) {
     if (queued.job == &job) {
       break;
     }
-    ahead += queued.job->pool == job.pool;
+    jobs_ahead += queued.job->pool == job.pool;
   }
   lines.push_back(
-      fmt::format("It waits in pool {} behind {} jobs.", job.pool, ahead));
+      fmt::format("It waits in pool {} behind {} jobs.", job.pool, jobs_ahead));
   Ledger& ledger = context.ledger;
   const auto size = context.estimates.Size(job);
   const TeamUse& team = ledger.teams[ledger.FindTeam(job.team)];
@@ -43,26 +43,26 @@
   }
 }
 
-void ExplainRooms(StepContext& context, const Job& job, Lines& lines) {
+void ExplainHosts(StepContext& context, const Job& job, Lines& lines) {
   const int pool = context.ledger.FindPool(job.pool);
   if (pool < 0) {
     lines.push_back("Its pool has no hosts.");
     return;
   }
   const auto size = context.estimates.Size(job);
-  int open = 0;
-  int shut = 0;
-  int with_room = 0;
+  int available = 0;
+  int unavailable = 0;
+  int fitting = 0;
   for (const int index : context.ledger.pools[pool].hosts) {
     const HostSlot& slot = context.ledger.hosts[index];
-    ++(slot.is_open ? open : shut);
-    with_room +=
+    ++(slot.is_open ? available : unavailable);
+    fitting +=
         slot.is_open && Fits(context.ledger.SizeOn(slot, job, size), slot.free);
   }
   lines.push_back(
       fmt::format("Of the pool's hosts {} take work, {} are drained, failed or "
                   "set aside, and {} have room for it.",
-                  open, shut, with_room));
+                  available, unavailable, fitting));
 }
 
 void ExplainRunning(StepContext& context, const Job& job, Lines& lines) {
@@ -87,12 +87,12 @@
   lines.push_back("It ended at " + FormatWallTime(job.state_since) + ".");
 }
 
-using Explain = void (*)(StepContext&, const Job&, Lines&);
+using ExplainFunction = void (*)(StepContext&, const Job&, Lines&);
 
-// In the order of JobState.
-constexpr std::array<Explain, static_cast<size_t>(JobState::kCount)> kExplain =
-    {&ExplainQueued, &ExplainRunning, &ExplainRunning,
-     &ExplainEnded,  &ExplainEnded,   &ExplainEnded};
+// Indexed by JobState.
+constexpr std::array<ExplainFunction, static_cast<size_t>(JobState::kCount)>
+    kExplainByState = {&ExplainQueued, &ExplainRunning, &ExplainRunning,
+                       &ExplainEnded,  &ExplainEnded,   &ExplainEnded};
 
 void ExplainEstimate(const StepContext& context, const Job& job, Lines& lines) {
   lines.push_back(fmt::format(
@@ -125,9 +125,9 @@
                       {},
                       0};
   Lines lines;
-  kExplain.at(static_cast<size_t>(job.state))(context, job, lines);
+  kExplainByState.at(static_cast<size_t>(job.state))(context, job, lines);
   if (job.state == JobState::kQueued) {
-    ExplainRooms(context, job, lines);
+    ExplainHosts(context, job, lines);
   }
   ExplainEstimate(context, job, lines);
   if (!job.reason.empty()) {
--- a/packages/placement/src/job_action.cc
+++ b/packages/placement/src/job_action.cc
@@ -11,19 +11,19 @@
 using model::Job;
 using model::JobState;
 
-constexpr Millis kFirstRetryDelay{2'000};
+constexpr Millis kInitialRetryDelay{2'000};
 constexpr Millis kMaxRetryDelay{300'000};
-constexpr size_t kMaxFailedOn = 8;
+constexpr size_t kMaxFailedOnHosts = 8;
 
 Millis RetryDelay(int failures) {
-  Millis delay = kFirstRetryDelay;
+  Millis delay = kInitialRetryDelay;
   for (int i = 1; i < failures && delay < kMaxRetryDelay; ++i) {
     delay *= 2;
   }
   return std::min(delay, kMaxRetryDelay);
 }
 
-void ClearRun(Job& job) {
+void EndRun(Job& job) {
   job.host.clear();
   job.reserved = {};
   job.throttle = 1;
@@ -32,7 +32,7 @@
 }
 
 void Requeue(Job& job, WallTime now) {
-  ClearRun(job);
+  EndRun(job);
   job.state = JobState::kQueued;
   job.state_since = now;
 }
@@ -64,26 +64,27 @@
 }
 
 void Fail(Job& job, const JobAction&, WallTime now) {
-  ClearRun(job);
+  EndRun(job);
   job.state = JobState::kFailed;
   job.state_since = now;
 }
 
-void RequeueAction(Job& job, const JobAction&, WallTime now) {
+void ApplyRequeue(Job& job, const JobAction&, WallTime now) {
   Requeue(job, now);
 }
 
 using ApplyFunction = void (*)(Job&, const JobAction&, WallTime);
 
-// In the order of JobActionKind.
+// Indexed by JobActionKind.
 constexpr std::array<ApplyFunction, static_cast<size_t>(JobActionKind::kCount)>
-    kApply = {&Start, &Throttle, &Checkpoint, &Stop, &Fail, &RequeueAction};
+    kApplyByKind = {&Start, &Throttle, &Checkpoint,
+                    &Stop,  &Fail,     &ApplyRequeue};
 
-void NoteFailure(Job& job, const JobReport& report, WallTime now) {
+void RequeueAfterFailure(Job& job, const JobReport& report, WallTime now) {
   ++job.failures;
-  const bool is_known = std::find(job.failed_on.begin(), job.failed_on.end(),
-                                  report.host) != job.failed_on.end();
-  if (!is_known && job.failed_on.size() < kMaxFailedOn) {
+  const bool is_listed = std::find(job.failed_on.begin(), job.failed_on.end(),
+                                   report.host) != job.failed_on.end();
+  if (!is_listed && job.failed_on.size() < kMaxFailedOnHosts) {
     job.failed_on.push_back(report.host);
   }
   Requeue(job, now);
@@ -91,8 +92,9 @@
   job.reason = "failed on " + report.host + ": " + report.text;
 }
 
-// An ended job still names its worker until that confirms.
-std::optional<Job> FreeWorker(Job job, const JobReport& report) {
+// A cancelled job keeps its worker until the worker reports the end of the run,
+// which had the lease before the cancellation.
+std::optional<Job> ReleaseWorker(Job job, const JobReport& report) {
   if (report.lease + 1 != job.lease || report.host != job.host) {
     return std::nullopt;
   }
@@ -106,7 +108,7 @@
 Job AfterAction(const Job& job, const JobAction& action, WallTime now) {
   Job next = job;
   next.reason = action.reason;
-  kApply.at(static_cast<size_t>(action.kind))(next, action, now);
+  kApplyByKind.at(static_cast<size_t>(action.kind))(next, action, now);
   return next;
 }
 
@@ -114,7 +116,7 @@
                                const JobReport& report,
                                WallTime now) {
   if (!IsRunning(job)) {
-    return FreeWorker(job, report);
+    return ReleaseWorker(job, report);
   }
   if (report.lease != job.lease || report.host != job.host) {
     return std::nullopt;
@@ -123,14 +125,14 @@
   next.peak = Max(job.peak, report.peak);
   switch (report.kind) {
     case JobReportKind::kSucceeded:
-      ClearRun(next);
+      EndRun(next);
       next.state = JobState::kSucceeded;
       next.state_since = now;
       next.work_done = report.work_done;
       next.reason.clear();
       break;
     case JobReportKind::kFailed:
-      NoteFailure(next, report, now);
+      RequeueAfterFailure(next, report, now);
       break;
     case JobReportKind::kCheckpointed:
       Requeue(next, now);
--- a/packages/placement/src/submission.cc
+++ b/packages/placement/src/submission.cc
@@ -14,9 +14,10 @@
 using model::Fleet;
 using model::Job;
 using model::Resources;
-using Reason = std::optional<std::string>;
+using OptionalReason = std::optional<std::string>;
 
-std::vector<Resources> ShapesOf(const Fleet& fleet, const std::string& pool) {
+std::vector<Resources> DistinctHostShapes(const Fleet& fleet,
+                                          const std::string& pool) {
   std::vector<Resources> shapes;
   for (const auto& [id, host] : fleet.hosts) {
     if (host.pool != pool || host.state == model::HostState::kRetired) {
@@ -34,7 +35,7 @@
   return shapes;
 }
 
-Reason CheckFigures(const Fleet&, const Job& job) {
+OptionalReason CheckDeclaredValues(const Fleet&, const Job& job) {
   const Resources& need = job.declared;
   if (need.processors <= 0 || need.memory_gb < 0 || need.accelerators < 0) {
     return "it must ask for processors, and for nothing below zero";
@@ -45,8 +46,8 @@
   return std::nullopt;
 }
 
-Reason CheckShape(const Fleet& fleet, const Job& job) {
-  const std::vector<Resources> shapes = ShapesOf(fleet, job.pool);
+OptionalReason CheckHostFit(const Fleet& fleet, const Job& job) {
+  const std::vector<Resources> shapes = DistinctHostShapes(fleet, job.pool);
   if (shapes.empty()) {
     return fmt::format("there is no pool {}", job.pool);
   }
@@ -63,7 +64,7 @@
       job.pool, Describe(job.declared), Describe(largest));
 }
 
-Reason CheckDeadline(const Fleet&, const Job& job) {
+OptionalReason CheckDeadline(const Fleet&, const Job& job) {
   if (job.deadline == WallTime{} ||
       job.deadline - job.submitted >= job.declared_run_time) {
     return std::nullopt;
@@ -73,7 +74,7 @@
                      FormatDuration(job.declared_run_time));
 }
 
-Reason CheckQuota(const Fleet& fleet, const Job& job) {
+OptionalReason CheckQuota(const Fleet& fleet, const Job& job) {
   const auto found = fleet.quotas.find(job.team);
   if (found == fleet.quotas.end() || found->second.may_borrow ||
       Fits(job.declared, found->second.guaranteed)) {
@@ -84,15 +85,15 @@
                      Describe(job.declared));
 }
 
-using Check = Reason (*)(const Fleet&, const Job&);
-constexpr std::array<Check, 4> kChecks = {&CheckFigures, &CheckShape,
+using Check = OptionalReason (*)(const Fleet&, const Job&);
+constexpr std::array<Check, 4> kChecks = {&CheckDeclaredValues, &CheckHostFit,
                                           &CheckDeadline, &CheckQuota};
 
 }  // namespace
 
-Reason CheckSubmission(const Fleet& fleet, const Job& job) {
+OptionalReason CheckSubmission(const Fleet& fleet, const Job& job) {
   for (const Check check : kChecks) {
-    if (Reason reason = check(fleet, job)) {
+    if (OptionalReason reason = check(fleet, job)) {
       return reason;
     }
   }
--- a/packages/placement/src/worker_evidence.cc
+++ b/packages/placement/src/worker_evidence.cc
@@ -6,27 +6,27 @@
 namespace laurelhall::placement {
 namespace {
 
-constexpr size_t kMaxFailures = 8;
-constexpr int kSetAsideScore = 3;
+constexpr size_t kMaxFailuresPerWorker = 8;
+constexpr int kQuarantineScore = 3;
 constexpr int kBlamedWeight = 2;
-constexpr Millis kFirstPause{5'000};
-constexpr Millis kFirstSetAside{10 * 60'000};
+constexpr Millis kInitialBackoff{5'000};
+constexpr Millis kInitialQuarantine{10 * 60'000};
 constexpr int kMaxDoublings = 5;
 constexpr size_t kMaxRecords = 4096;
-// Successes in a row that outweigh one failure blamed on the worker.
-constexpr int kForgivingSuccesses = 4;
+// Consecutive successes that remove one failure blamed on the worker.
+constexpr int kSuccessesToForgive = 4;
 
-int ScoreOf(const WorkerRecord& record) {
+int ComputeScore(const WorkerRecord& record) {
   int blamed = 0;
-  std::set<std::string_view> open_kinds;
+  std::set<std::string_view> unresolved_kinds;
   for (const FailureEvidence& failure : record.failures) {
     if (failure.is_blamed) {
       ++blamed;
     } else if (!failure.is_excused) {
-      open_kinds.insert(failure.kind);
+      unresolved_kinds.insert(failure.kind);
     }
   }
-  return blamed * kBlamedWeight + static_cast<int>(open_kinds.size());
+  return blamed * kBlamedWeight + static_cast<int>(unresolved_kinds.size());
 }
 
 FailureEvidence* FindFailure(WorkerRecord& record, const std::string& job) {
@@ -42,7 +42,7 @@
   if (FailureEvidence* known = FindFailure(record, job.id)) {
     return *known;
   }
-  if (record.failures.size() == kMaxFailures) {
+  if (record.failures.size() == kMaxFailuresPerWorker) {
     record.failures.erase(record.failures.begin());
   }
   record.failures.push_back({job.id, job.team + "/" + job.kind, false, false});
@@ -54,24 +54,25 @@
 void WorkerEvidence::NoteFailure(const model::Job& job,
                                  const std::string& host,
                                  WallTime now) {
-  const bool fails_elsewhere = ExcuseOthers(job, host, now);
-  WorkerRecord& record = RecordOf(host);
+  const bool failed_elsewhere = ExcuseOtherWorkers(job, host, now);
+  WorkerRecord& record = FindOrAddRecord(host);
   record.successes = 0;
-  AddFailure(record, job).is_excused = fails_elsewhere;
-  if (!fails_elsewhere) {
+  AddFailure(record, job).is_excused = failed_elsewhere;
+  if (!failed_elsewhere) {
     record.last_failure = now;
-    m_proven.erase(host);
+    m_succeeded_hosts.erase(host);
   }
-  SetAsideIfDue(record, now);
+  QuarantineIfDue(record, now);
 }
 
-void WorkerEvidence::SetAsideIfDue(WorkerRecord& record, WallTime now) {
-  if (ScoreOf(record) >= kSetAsideScore && record.set_aside_until <= now) {
-    SetAside(record, now);
+void WorkerEvidence::QuarantineIfDue(WorkerRecord& record, WallTime now) {
+  if (ComputeScore(record) >= kQuarantineScore &&
+      record.set_aside_until <= now) {
+    Quarantine(record, now);
   }
 }
 
-WorkerRecord& WorkerEvidence::RecordOf(const std::string& host) {
+WorkerRecord& WorkerEvidence::FindOrAddRecord(const std::string& host) {
   const auto found = m_records.find(host);
   if (found != m_records.end()) {
     return found->second;
@@ -87,16 +88,16 @@
   return record;
 }
 
-// A failure on a worker that itself is set aside says nothing for the others.
-bool WorkerEvidence::ExcuseOthers(const model::Job& job,
-                                  const std::string& host,
-                                  WallTime now) {
-  bool fails_elsewhere = false;
+// A failure on a quarantined worker does not excuse failures on other workers.
+bool WorkerEvidence::ExcuseOtherWorkers(const model::Job& job,
+                                        const std::string& host,
+                                        WallTime now) {
+  bool failed_elsewhere = false;
   for (const std::string& other : job.failed_on) {
     if (other == host || IsSetAside(other, now)) {
       continue;
     }
-    fails_elsewhere = true;
+    failed_elsewhere = true;
     const auto found = m_records.find(other);
     if (found == m_records.end() || IsSetAside(host, now)) {
       continue;
@@ -105,15 +106,16 @@
       failure->is_excused = true;
     }
   }
-  return fails_elsewhere;
+  return failed_elsewhere;
 }
 
-void WorkerEvidence::SetAside(WorkerRecord& record, WallTime now) {
+void WorkerEvidence::Quarantine(WorkerRecord& record, WallTime now) {
   const int doublings = std::min(record.times_set_aside, kMaxDoublings);
   record.set_aside_at = now;
-  record.set_aside_until = now + kFirstSetAside * (1 << doublings);
+  record.set_aside_until = now + kInitialQuarantine * (1 << doublings);
   ++record.times_set_aside;
-  // What stays makes the next failure, after the time is over, enough.
+  // One blamed failure is kept, so that one more failure after the quarantine
+  // reaches kQuarantineScore again.
   std::string kind = record.failures.back().kind;
   record.failures = {{"", std::move(kind), true, false}};
 }
@@ -125,32 +127,33 @@
     if (other == host) {
       continue;
     }
-    WorkerRecord& record = RecordOf(other);
+    WorkerRecord& record = FindOrAddRecord(other);
     FailureEvidence& failure = AddFailure(record, job);
     failure.is_blamed = true;
     failure.is_excused = false;
-    SetAsideIfDue(record, now);
+    QuarantineIfDue(record, now);
   }
-  if (m_proven.size() < kMaxRecords) {
-    m_proven.insert(host);
+  if (m_succeeded_hosts.size() < kMaxRecords) {
+    m_succeeded_hosts.insert(host);
   }
   const auto found = m_records.find(host);
   if (found == m_records.end()) {
     return;
   }
-  Forgive(found->second);
+  CreditSuccess(found->second);
   if (found->second.failures.empty() && found->second.times_set_aside == 0) {
     m_records.erase(found);
   }
 }
 
-// A success clears what was open; several in a row clear one failure that was
-// blamed on the worker, so one that fails every other run is still set aside.
-void WorkerEvidence::Forgive(WorkerRecord& record) {
+// A success removes the failures that are not blamed on the worker.
+// kSuccessesToForgive in a row remove one that is, so that a worker that fails
+// every other run is still quarantined.
+void WorkerEvidence::CreditSuccess(WorkerRecord& record) {
   std::erase_if(record.failures, [](const FailureEvidence& failure) {
     return !failure.is_blamed;
   });
-  if (++record.successes < kForgivingSuccesses) {
+  if (++record.successes < kSuccessesToForgive) {
     return;
   }
   record.successes = 0;
@@ -166,7 +169,7 @@
   return record != nullptr && now < record->set_aside_until;
 }
 
-// Each failure that is not excused doubles the wait.
+// Each failure that is not excused doubles the backoff, up to kMaxDoublings.
 bool WorkerEvidence::IsPaused(std::string_view host, WallTime now) const {
   const WorkerRecord* record = Find(host);
   if (record == nullptr) {
@@ -179,16 +182,16 @@
     return false;
   }
   const int doublings = std::min(failures - 1, kMaxDoublings);
-  return now < record->last_failure + kFirstPause * (1 << doublings);
+  return now < record->last_failure + kInitialBackoff * (1 << doublings);
 }
 
 bool WorkerEvidence::IsProven(std::string_view host) const {
-  return m_proven.find(host) != m_proven.end();
+  return m_succeeded_hosts.find(host) != m_succeeded_hosts.end();
 }
 
 int WorkerEvidence::Score(std::string_view host) const {
   const WorkerRecord* record = Find(host);
-  return record == nullptr ? 0 : ScoreOf(*record);
+  return record == nullptr ? 0 : ComputeScore(*record);
 }
 
 const WorkerRecord* WorkerEvidence::Find(std::string_view host) const {
--- a/packages/placement/tests/fake_workers.h
+++ b/packages/placement/tests/fake_workers.h
@@ -9,11 +9,12 @@
 
 #include "laurelhall/placement/placer.h"
 
-// A small fake of the platform's workers on a virtual clock: it runs jobs
-// under leases, reports their ends and their usage with a lag.
+// A fake of the platform's workers on a virtual clock. It runs jobs under
+// leases, reports the ends of runs, and reports their usage after a delay.
 namespace laurelhall::placement {
 
-// What a job is in truth, whatever it declared.
+// The actual usage, run time and outcome of a job, as opposed to what it
+// declared.
 struct TrueJob {
   model::Resources used;
   Millis run_time{0};
@@ -25,7 +26,7 @@
   Millis checkpoint_time{2'000};
   Millis stop_time{500};
   Millis time_to_fail{1'000};
-  // A cut-off worker ends its runs by itself after this.
+  // A worker that is cut off from the leader ends its runs after this time.
   Millis lease_time{12'000};
 };
 
@@ -35,25 +36,26 @@
 
   model::Fleet fleet;  // The committed state.
   std::map<std::string, TrueJob> truth;
-  std::set<std::string> bad;            // Workers that fail everything.
-  std::set<std::string> silent;         // Workers that are cut off.
-  std::map<std::string, double> speed;  // By worker, where not 1.
-  int rejected = 0;  // Actions whose lease was not the expected.
-  std::map<std::string, int> starts;  // By worker.
-  Millis work_lost{0};                // Run time done twice.
+  std::set<std::string> bad;     // Workers on which every job fails.
+  std::set<std::string> silent;  // Workers cut off from the leader.
+  std::map<std::string, double>
+      speed;         // Speed factor by worker; the default is 1.
+  int rejected = 0;  // Actions whose expected lease was not the job's.
+  std::map<std::string, int> starts;  // Number of started runs by worker.
+  Millis work_lost{0};                // Run time not saved by a checkpoint.
 
   struct Run {
     uint64_t lease = 0;
     std::string host;
     WallTime started{};
     double work = 0;  // Milliseconds at full speed, earlier runs included.
-    WallTime cut_at{};
+    WallTime cut_off_at{};
   };
-  // More than one run of a job breaks the promise of the lease.
+  // The current runs by job. Leases must prevent a second run of a job.
   std::map<std::string, std::vector<Run>> runs;
 
-  void Submit(model::Job job, const TrueJob& as_is) {
-    truth[job.id] = as_is;
+  void Submit(model::Job job, const TrueJob& actual) {
+    truth[job.id] = actual;
     fleet.jobs[job.id] = std::move(job);
   }
 
@@ -76,7 +78,7 @@
     }
   }
 
-  // Moves all runs on and returns the reports that come of it.
+  // Advances all runs by `by` and returns the reports of those that ended.
   std::vector<JobReport> Tick(WallTime now, Millis by) {
     std::vector<JobReport> reports;
     for (auto job_runs = runs.begin(); job_runs != runs.end();) {
@@ -90,7 +92,7 @@
     return reports;
   }
 
-  // What the workers reported a while ago.
+  // Returns the usage of runs that are at least `usage_lag` old.
   Observations Observe(WallTime now) {
     Observations seen;
     for (const auto& [id, job_runs] : runs) {
@@ -105,43 +107,43 @@
   }
 
  private:
-  // Returns whether the run is over.
+  // Advances one run and returns whether it has ended.
   bool Advance(const model::Job& job,
                Run& run,
                WallTime now,
                Millis by,
                std::vector<JobReport>& reports) {
-    const TrueJob& as_is = truth.at(job.id);
+    const TrueJob& actual = truth.at(job.id);
     const bool is_current = (job.state == model::JobState::kRunning ||
                              job.state == model::JobState::kCheckpointing) &&
                             job.lease == run.lease;
     if (silent.count(run.host)) {
-      run.cut_at = run.cut_at == WallTime{} ? now : run.cut_at;
-      const bool is_over = now >= run.cut_at + m_init.lease_time;
-      work_lost += is_over ? Lost(job, run) : Millis(0);
+      run.cut_off_at = run.cut_off_at == WallTime{} ? now : run.cut_off_at;
+      const bool is_over = now >= run.cut_off_at + m_init.lease_time;
+      work_lost += is_over ? UnsavedWork(job, run) : Millis(0);
       return is_over;
     }
-    const auto slowed = speed.find(run.host);
+    const auto speed_factor = speed.find(run.host);
     run.work += static_cast<double>(by.count()) * job.throttle *
-                (slowed == speed.end() ? 1 : slowed->second);
+                (speed_factor == speed.end() ? 1 : speed_factor->second);
     JobReport report{job.id,
                      run.lease,
                      run.host,
                      JobReportKind::kCount,
                      Millis(static_cast<int64_t>(run.work)),
-                     as_is.used,
+                     actual.used,
                      {}};
     const Millis age = now - run.started;
-    if ((bad.count(run.host) || as_is.fails) && age >= m_init.time_to_fail) {
+    if ((bad.count(run.host) || actual.fails) && age >= m_init.time_to_fail) {
       report.kind = JobReportKind::kFailed;
       report.text = "exit status 1";
-    } else if (run.work >= static_cast<double>(as_is.run_time.count())) {
+    } else if (run.work >= static_cast<double>(actual.run_time.count())) {
       report.kind = JobReportKind::kSucceeded;
-      report.work_done = as_is.run_time;
+      report.work_done = actual.run_time;
     } else if (!is_current ||
                (job.is_stopping && now >= job.state_since + m_init.stop_time)) {
       report.kind = JobReportKind::kStopped;
-      work_lost += Lost(job, run);
+      work_lost += UnsavedWork(job, run);
     } else if (job.state == model::JobState::kCheckpointing &&
                now >= job.state_since + m_init.checkpoint_time) {
       report.kind = JobReportKind::kCheckpointed;
@@ -153,7 +155,7 @@
     return true;
   }
 
-  Millis Lost(const model::Job& job, const Run& run) const {
+  Millis UnsavedWork(const model::Job& job, const Run& run) const {
     return Millis(static_cast<int64_t>(run.work)) - job.work_done;
   }
 
--- a/packages/placement/tests/placer_test.cc
+++ b/packages/placement/tests/placer_test.cc
@@ -21,12 +21,12 @@
 
 constexpr Millis kStep{500};
 constexpr Millis kUrgentBound{7'200};
-constexpr WallTime kBegin{Millis(1'000'000'000)};
+constexpr WallTime kStartTime{Millis(1'000'000'000)};
 
 struct PlacerFixture {
   FakeWorkers m_workers;
   Placer m_placer;
-  WallTime m_now = kBegin;
+  WallTime m_now = kStartTime;
   Millis m_longest_urgent_wait{0};
   int m_next_job = 0;
 
@@ -45,7 +45,8 @@
     }
   }
 
-  // A job that is what it declares; change either before the first step.
+  // Submits a job whose actual usage and run time equal the declared ones. A
+  // test may change either before the first step.
   Job& Submit(const std::string& team,
               Priority priority,
               Resources size,
@@ -63,9 +64,11 @@
     return m_workers.fleet.jobs[job.id];
   }
 
-  Job& JobOf(const std::string& id) { return m_workers.fleet.jobs.at(id); }
+  Job& FindJob(const std::string& id) { return m_workers.fleet.jobs.at(id); }
 
-  void Quota(const std::string& team, Resources guaranteed, bool may_borrow) {
+  void SetQuota(const std::string& team,
+                Resources guaranteed,
+                bool may_borrow) {
     m_workers.fleet.quotas[team] = {team, guaranteed, may_borrow};
   }
 
@@ -74,13 +77,13 @@
     const auto actions = m_placer.Step(m_workers.fleet, seen, m_now);
     REQUIRE(m_placer.Step(m_workers.fleet, seen, m_now) == actions);
     m_workers.Commit(actions, m_now);
-    CheckHosts();
-    CheckRuns();
+    CheckCapacity();
+    CheckSingleRuns();
     m_now += kStep;
     for (const JobReport& report : m_workers.Tick(m_now, kStep)) {
-      Take(report);
+      CommitReport(report);
     }
-    NoteUrgentWaits();
+    UpdateLongestUrgentWait();
     return actions;
   }
 
@@ -90,8 +93,8 @@
     }
   }
 
-  void Take(const JobReport& report) {
-    Job& job = JobOf(report.job);
+  void CommitReport(const JobReport& report) {
+    Job& job = FindJob(report.job);
     if (const auto next = AfterReport(job, report, m_now)) {
       if (IsRunning(job)) {
         m_placer.Learn(job, report, m_now);
@@ -100,8 +103,8 @@
     }
   }
 
-  // What is reserved on a host never exceeds what the host has.
-  void CheckHosts() {
+  // The resources reserved on a host never exceed its capacity.
+  void CheckCapacity() {
     std::map<std::string, Resources> held;
     for (const auto& [id, job] : m_workers.fleet.jobs) {
       if (!job.host.empty() && IsRunning(job)) {
@@ -118,15 +121,16 @@
     REQUIRE(all_fit);
   }
 
-  // No job runs twice at a time, whatever was cut off, stopped or restarted.
-  void CheckRuns() {
+  // No job has two runs at the same time, also after workers were cut off and
+  // runs were stopped or restarted.
+  void CheckSingleRuns() {
     const bool all_single =
         std::all_of(m_workers.runs.begin(), m_workers.runs.end(),
                     [](const auto& entry) { return entry.second.size() == 1; });
     REQUIRE(all_single);
   }
 
-  void NoteUrgentWaits() {
+  void UpdateLongestUrgentWait() {
     for (const auto& [id, job] : m_workers.fleet.jobs) {
       if (job.priority == Priority::kUrgent && job.state == JobState::kQueued &&
           job.attempts == 0) {
@@ -142,7 +146,7 @@
         [state](const auto& entry) { return entry.second.state == state; }));
   }
 
-  double Processors(const std::string& team) const {
+  double RunningProcessors(const std::string& team) const {
     double sum = 0;
     for (const auto& [id, job] : m_workers.fleet.jobs) {
       if (job.team == team && IsRunning(job) &&
@@ -159,7 +163,7 @@
 TEST_CASE_FIXTURE(PlacerFixture,
                   "CheckSubmission, job that can never run, says why") {
   AddHosts(4, kWorker, "h");
-  Quota("small", {4, 16, 0}, false);
+  SetQuota("small", {4, 16, 0}, false);
   Job job;
   job.team = "t";
   job.pool = "p";
@@ -198,7 +202,7 @@
   const std::string urgent =
       Submit("t", Priority::kUrgent, {6, 8, 0}, std::chrono::minutes(1)).id;
   Step();
-  CHECK(JobOf(urgent).state == JobState::kRunning);
+  CHECK(FindJob(urgent).state == JobState::kRunning);
   CHECK(Count(JobState::kRunning) == 9);
   Run(std::chrono::minutes(2));
   for (const auto& [id, job] : m_workers.fleet.jobs) {
@@ -218,15 +222,15 @@
   SUBCASE("no run can checkpoint") {
     Submit("t", Priority::kUrgent, {4, 30, 0}, std::chrono::minutes(1));
     Run(kUrgentBound);
-    CHECK(JobOf(batch[3]).attempts == 1);
-    CHECK(JobOf(batch[3]).state == JobState::kQueued);
+    CHECK(FindJob(batch[3]).attempts == 1);
+    CHECK(FindJob(batch[3]).state == JobState::kQueued);
   }
   SUBCASE("the oldest run can checkpoint") {
-    JobOf(batch[0]).can_checkpoint = true;
+    FindJob(batch[0]).can_checkpoint = true;
     Submit("t", Priority::kUrgent, {4, 30, 0}, std::chrono::minutes(1));
     Run(kUrgentBound);
-    CHECK(JobOf(batch[0]).state == JobState::kQueued);
-    CHECK(JobOf(batch[0]).work_done > std::chrono::minutes(4));
+    CHECK(FindJob(batch[0]).state == JobState::kQueued);
+    CHECK(FindJob(batch[0]).work_done > std::chrono::minutes(4));
     CHECK(m_workers.work_lost == Millis(0));
   }
   CHECK(m_longest_urgent_wait < kUrgentBound);
@@ -262,41 +266,41 @@
 TEST_CASE_FIXTURE(PlacerFixture,
                   "Placer, owner wants its quota back, has it within bound") {
   AddHosts(4, kWorker, "h");
-  Quota("a", {64, 256, 0}, true);
-  Quota("b", {64, 256, 0}, true);
+  SetQuota("a", {64, 256, 0}, true);
+  SetQuota("b", {64, 256, 0}, true);
   for (int i = 0; i < 32; ++i) {
     Submit("a", Priority::kStandard, {4, 16, 0}, std::chrono::hours(3))
         .can_checkpoint = i % 2 == 0;
   }
   Run(std::chrono::minutes(2));
-  CHECK(Processors("a") == 128);
+  CHECK(RunningProcessors("a") == 128);
   for (int i = 0; i < 16; ++i) {
     Submit("b", Priority::kBatch, {4, 16, 0}, std::chrono::hours(3));
   }
   const PlacerInit& init = m_placer.init();
   Run(Millis(10'000));
   CHECK(m_workers.work_lost == Millis(0));
-  CHECK(Processors("b") > 0);
+  CHECK(RunningProcessors("b") > 0);
   Run(init.reclaim_patience + init.checkpoint_timeout + init.lease_timeout -
       Millis(10'000));
-  CHECK(Processors("b") == 64);
-  CHECK(Processors("a") == 64);
+  CHECK(RunningProcessors("b") == 64);
+  CHECK(RunningProcessors("a") == 64);
 }
 
 TEST_CASE_FIXTURE(PlacerFixture,
                   "Placer, team may not borrow, stays within its quota") {
   AddHosts(2, kWorker, "h");
-  Quota("a", {16, 64, 0}, false);
+  SetQuota("a", {16, 64, 0}, false);
   for (int i = 0; i < 10; ++i) {
     Submit("a", Priority::kBatch, {4, 16, 0}, std::chrono::hours(1));
   }
   Run(Millis(5'000));
-  CHECK(Processors("a") == 16);
+  CHECK(RunningProcessors("a") == 16);
   const std::string urgent =
       Submit("a", Priority::kUrgent, {4, 16, 0}, std::chrono::hours(1)).id;
   Run(Millis(5'000));
-  CHECK(JobOf(urgent).state == JobState::kRunning);
-  CHECK(Processors("a") == 16);
+  CHECK(FindJob(urgent).state == JobState::kRunning);
+  CHECK(RunningProcessors("a") == 16);
 }
 
 TEST_CASE_FIXTURE(
@@ -350,13 +354,13 @@
   job.can_checkpoint = true;
   const std::string saved = job.id;
   Run(std::chrono::minutes(5));
-  const std::string from = JobOf(saved).host;
+  const std::string from = FindJob(saved).host;
   m_workers.fleet.hosts[from].state = HostState::kDraining;
   m_workers.fleet.hosts[from].state_since = m_now;
   Run(Millis(10'000));
-  CHECK(JobOf(saved).state == JobState::kRunning);
-  CHECK(JobOf(saved).host != from);
-  CHECK(JobOf(saved).work_done > std::chrono::minutes(4));
+  CHECK(FindJob(saved).state == JobState::kRunning);
+  CHECK(FindJob(saved).host != from);
+  CHECK(FindJob(saved).work_done > std::chrono::minutes(4));
   CHECK(m_workers.work_lost == Millis(0));
 }
 
@@ -366,21 +370,21 @@
   const std::string id =
       Submit("t", Priority::kStandard, {4, 16, 0}, std::chrono::hours(1)).id;
   Run(Millis(2'000));
-  const std::string from = JobOf(id).host;
+  const std::string from = FindJob(id).host;
   const JobReport late{
-      id, JobOf(id).lease, from, JobReportKind::kSucceeded, {}, {}, {}};
+      id, FindJob(id).lease, from, JobReportKind::kSucceeded, {}, {}, {}};
   m_workers.silent = {from};
   m_workers.fleet.hosts[from].state = HostState::kFailed;
   m_workers.fleet.hosts[from].state_since = m_now;
   Run(Millis(14'000));
-  CHECK(JobOf(id).host == from);
+  CHECK(FindJob(id).host == from);
   Run(Millis(3'000));
-  CHECK(JobOf(id).host != from);
-  CHECK(JobOf(id).state == JobState::kRunning);
-  CHECK_FALSE(AfterReport(JobOf(id), late, m_now).has_value());
+  CHECK(FindJob(id).host != from);
+  CHECK(FindJob(id).state == JobState::kRunning);
+  CHECK_FALSE(AfterReport(FindJob(id), late, m_now).has_value());
   JobReport of_old_lease = late;
-  of_old_lease.host = JobOf(id).host;
-  CHECK_FALSE(AfterReport(JobOf(id), of_old_lease, m_now).has_value());
+  of_old_lease.host = FindJob(id).host;
+  CHECK_FALSE(AfterReport(FindJob(id), of_old_lease, m_now).has_value());
 }
 
 TEST_CASE_FIXTURE(PlacerFixture,
@@ -393,22 +397,23 @@
   const std::string big =
       Submit("t", Priority::kStandard, {32, 64, 0}, std::chrono::minutes(30))
           .id;
-  JobOf(big).deadline = m_now + std::chrono::minutes(50);
+  FindJob(big).deadline = m_now + std::chrono::minutes(50);
   double busy = 0;
   int steps = 0;
-  while (JobOf(big).attempts == 0 && steps < 7'200) {
+  while (FindJob(big).attempts == 0 && steps < 7'200) {
     if (steps % 30 == 0) {
-      // Says that it is short, and is not, every third time.
+      // Every third small job runs three times as long as it declares.
       Job& small =
           Submit("t", Priority::kStandard, {4, 4, 0}, std::chrono::minutes(5));
       m_workers.truth[small.id].run_time *= steps % 90 == 0 ? 3 : 1;
     }
     Step();
-    busy += Processors("t");
+    busy += RunningProcessors("t");
     ++steps;
   }
-  CHECK(JobOf(big).attempts == 1);
-  CHECK(JobOf(big).started - JobOf(big).submitted < std::chrono::minutes(40));
+  CHECK(FindJob(big).attempts == 1);
+  CHECK(FindJob(big).started - FindJob(big).submitted <
+        std::chrono::minutes(40));
   CHECK(busy / steps > 28);
 }
 
@@ -423,7 +428,7 @@
   const std::string big =
       Submit("t", Priority::kBatch, {32, 64, 0}, std::chrono::minutes(10)).id;
   Run(std::chrono::minutes(80));
-  CHECK(JobOf(big).state == JobState::kSucceeded);
+  CHECK(FindJob(big).state == JobState::kSucceeded);
 }
 
 TEST_CASE_FIXTURE(
@@ -434,10 +439,10 @@
     Job& job =
         Submit("t", Priority::kStandard, {1, 4, 0}, std::chrono::minutes(1));
     job.kind = i % 2 == 0 ? "large" : "small";
-    TrueJob& as_is = m_workers.truth[job.id];
+    TrueJob& actual = m_workers.truth[job.id];
     const double factor = i % 2 == 0 ? 10 : 0.1;
-    as_is.used = {1 * factor, 4 * factor, 0};
-    as_is.run_time = i % 2 == 0 ? Millis(600'000) : Millis(6'000);
+    actual.used = {1 * factor, 4 * factor, 0};
+    actual.run_time = i % 2 == 0 ? Millis(600'000) : Millis(6'000);
     job.can_checkpoint = true;
   }
   Run(std::chrono::hours(2));
@@ -465,15 +470,15 @@
   const std::string id = greedy.id;
   Run(Millis(1'000));
   Observations seen;
-  seen.usage[id] = {JobOf(id).lease - 1, {4, 60, 0}, {}};
+  seen.usage[id] = {FindJob(id).lease - 1, {4, 60, 0}, {}};
   CHECK(m_placer.Step(m_workers.fleet, seen, m_now).empty());
-  seen.usage[id].lease = JobOf(id).lease;
+  seen.usage[id].lease = FindJob(id).lease;
   CHECK(m_placer.Step(m_workers.fleet, seen, m_now).size() == 1);
   m_workers.truth[id].used = {4, 60, 0};
   Run(std::chrono::minutes(5));
-  CHECK(JobOf(id).attempts == 1);
-  CHECK(JobOf(id).peak.memory_gb == 60);
-  CHECK(JobOf(id).state == JobState::kQueued);
+  CHECK(FindJob(id).attempts == 1);
+  CHECK(FindJob(id).peak.memory_gb == 60);
+  CHECK(FindJob(id).state == JobState::kQueued);
 }
 
 TEST_CASE_FIXTURE(PlacerFixture,
@@ -490,29 +495,30 @@
   for (auto& [id, job] : m_workers.fleet.jobs) {
     job = AfterCancel(job, m_now, "cancelled by its caller");
   }
-  // What was decided before they were cancelled comes too late.
+  // Actions decided before the cancellation are rejected by their lease.
   m_workers.Commit(decided, m_now);
   CHECK(m_workers.rejected == static_cast<int>(decided.size()));
   CHECK(Count(JobState::kCancelled) == 2'001);
   CHECK(Step().empty());
   CHECK(m_workers.runs.empty());
   CHECK(Step().empty());
-  CHECK(CheapestToDrain(m_workers.fleet, "p", m_now).front().jobs == 0);
+  CHECK(HostsByDrainCost(m_workers.fleet, "p", m_now).front().jobs == 0);
 }
 
-TEST_CASE_FIXTURE(PlacerFixture,
-                  "DrainCost, runs with and without checkpoints, told apart") {
+TEST_CASE_FIXTURE(
+    PlacerFixture,
+    "ComputeDrainCost, runs with and without checkpoints, told apart") {
   AddHosts(2, kWorker, "h");
   Submit("t", Priority::kStandard, {32, 16, 0}, std::chrono::hours(1))
       .can_checkpoint = true;
   Submit("t", Priority::kStandard, {32, 16, 0}, std::chrono::hours(1));
   Run(std::chrono::minutes(1));
-  const auto costs = CheapestToDrain(m_workers.fleet, "p", m_now);
+  const auto costs = HostsByDrainCost(m_workers.fleet, "p", m_now);
   REQUIRE(costs.size() == 2);
   CHECK(costs[0].work_lost == Millis(0));
   CHECK(costs[0].work_moved == Millis(60'000 * 32));
   CHECK(costs[1].work_lost == Millis(60'000 * 32));
-  CHECK(DrainCost(m_workers.fleet, costs[1].host, m_now) == costs[1]);
+  CHECK(ComputeDrainCost(m_workers.fleet, costs[1].host, m_now) == costs[1]);
 }
 
 TEST_CASE_FIXTURE(PlacerFixture,
@@ -535,58 +541,60 @@
   CHECK(explain("none") == "There is no job none.\n");
 }
 
-// Everything at once, from a seed: misdeclared sizes, failing workers, cut-off
-// and draining hosts, cancellations in waves, and a new leader every minute
-// that has only the fleet and the saved memory.
+// Combines faults at random from a seed: misdeclared sizes, failing workers,
+// cut-off and draining hosts, waves of cancellations, and every minute a new
+// leader that has only the fleet and the saved memory.
 struct ScheduleFixture : PlacerFixture {
   std::mt19937_64 m_random;
 
-  int Pick(int below) {
+  int RandomBelow(int below) {
     return static_cast<int>(m_random() % static_cast<uint64_t>(below));
   }
 
   void SubmitSome() {
-    const int kind = Pick(10);
+    const int kind = RandomBelow(10);
     const Priority priority = kind == 0  ? Priority::kUrgent
                               : kind < 5 ? Priority::kStandard
                                          : Priority::kBatch;
     const bool is_urgent = priority == Priority::kUrgent;
-    const Resources size{1.0 + Pick(8), 4.0 + Pick(24),
-                         Pick(8) == 0 && !is_urgent ? 1 : 0};
-    const std::string team = Pick(2) == 0 ? "a" : "b";
-    Job& job =
-        Submit(team, priority, size,
-               is_urgent ? Millis(5'000) : Millis(60'000 + Pick(300'000)));
-    job.kind = "k" + std::to_string(Pick(5));
-    job.can_checkpoint = Pick(2) == 0;
-    TrueJob& as_is = m_workers.truth[job.id];
-    as_is.fails = Pick(50) == 0 && !is_urgent;
-    if (Pick(5) == 0 && !is_urgent) {
-      as_is.used = {size.processors * 3, size.memory_gb * 0.2,
-                    size.accelerators};
-      as_is.run_time *= 10;
+    const Resources size{1.0 + RandomBelow(8), 4.0 + RandomBelow(24),
+                         RandomBelow(8) == 0 && !is_urgent ? 1 : 0};
+    const std::string team = RandomBelow(2) == 0 ? "a" : "b";
+    Job& job = Submit(
+        team, priority, size,
+        is_urgent ? Millis(5'000) : Millis(60'000 + RandomBelow(300'000)));
+    job.kind = "k" + std::to_string(RandomBelow(5));
+    job.can_checkpoint = RandomBelow(2) == 0;
+    TrueJob& actual = m_workers.truth[job.id];
+    actual.fails = RandomBelow(50) == 0 && !is_urgent;
+    if (RandomBelow(5) == 0 && !is_urgent) {
+      actual.used = {size.processors * 3, size.memory_gb * 0.2,
+                     size.accelerators};
+      actual.run_time *= 10;
     }
   }
 
   model::Host& AnyHost() {
     auto host = m_workers.fleet.hosts.begin();
-    std::advance(host, Pick(static_cast<int>(m_workers.fleet.hosts.size())));
+    std::advance(host,
+                 RandomBelow(static_cast<int>(m_workers.fleet.hosts.size())));
     return host->second;
   }
 
   void ChangeHost() {
     model::Host& host = AnyHost();
     const bool is_in = host.state == HostState::kInPool;
-    host.state = !is_in         ? HostState::kInPool
-                 : Pick(2) == 0 ? HostState::kDraining
-                                : HostState::kFailed;
+    host.state = !is_in                ? HostState::kInPool
+                 : RandomBelow(2) == 0 ? HostState::kDraining
+                                       : HostState::kFailed;
     host.state_since = m_now;
     if (host.state == HostState::kFailed) {
       m_workers.silent.insert(host.id);
     } else if (m_workers.silent.count(host.id)) {
-      // It is back only once its leases ran out and its jobs were requeued.
+      // The host returns only after its leases have expired and its jobs were
+      // requeued.
       host.state = HostState::kFailed;
-      host.state_since = kBegin;
+      host.state_since = kStartTime;
       Step();
       m_workers.silent.erase(host.id);
       host.state = HostState::kInPool;
@@ -595,7 +603,7 @@
 
   void CancelSome() {
     for (auto& [id, job] : m_workers.fleet.jobs) {
-      if (Pick(4) == 0) {
+      if (RandomBelow(4) == 0) {
         job = AfterCancel(job, m_now, "cancelled");
       }
     }
@@ -609,22 +617,22 @@
 };
 
 TEST_CASE_FIXTURE(ScheduleFixture,
-                  "Placer, seeded schedules of faults, keeps its promises") {
+                  "Placer, seeded schedules of faults, keeps its invariants") {
   for (const uint64_t seed : {1, 2, 3, 4, 5, 6, 7, 8}) {
     CAPTURE(seed);
     m_random.seed(seed);
     m_workers = FakeWorkers();
     m_placer = Placer();
-    m_now = kBegin;
+    m_now = kStartTime;
     m_longest_urgent_wait = Millis(0);
     m_workers.fleet.pools["p"].name = "p";
     AddHosts(9, kWorker, "h");
     AddHosts(3, {32, 128, 4}, "x");
-    Quota("a", {192, 700, 6}, true);
-    Quota("b", {192, 700, 6}, true);
+    SetQuota("a", {192, 700, 6}, true);
+    SetQuota("b", {192, 700, 6}, true);
     m_workers.bad = {"h3"};
     for (int step = 0; step < 2'400; ++step) {
-      if (Pick(4) == 0) {
+      if (RandomBelow(4) == 0) {
         SubmitSome();
       }
       if (step % 400 == 300) {
