--- a/packages/placement/src/explain.cc
+++ b/packages/placement/src/explain.cc
@@ -52,17 +52,17 @@
   const auto size = context.estimates.Size(job);
   int available = 0;
   int unavailable = 0;
-  int fitting = 0;
+  int with_room = 0;
   for (const int index : context.ledger.pools[pool].hosts) {
     const HostSlot& slot = context.ledger.hosts[index];
     ++(slot.is_open ? available : unavailable);
-    fitting +=
+    with_room +=
         slot.is_open && Fits(context.ledger.SizeOn(slot, job, size), slot.free);
   }
   lines.push_back(
       fmt::format("Of the pool's hosts {} take work, {} are drained, failed or "
                   "set aside, and {} have room for it.",
-                  available, unavailable, fitting));
+                  available, unavailable, with_room));
 }
 
 void ExplainRunning(StepContext& context, const Job& job, Lines& lines) {
