--- a/packages/planning/src/act_progress_p.h
+++ b/packages/planning/src/act_progress_p.h
@@ -18,7 +18,7 @@
 /// only been announced.
 inline bool IsSkippable(const PlanContext& context, const model::Host& host) {
   const bool is_held_by_operator =
-      IsLeaving(host) && !IsPlannedReason(host.drain_reason);
+      IsDrainingOrDrained(host) && !IsPlannerDrainReason(host.drain_reason);
   const bool has_failed_too_long =
       host.state == model::HostState::kFailed &&
       context.now() - host.state_since >= context.policy().return_timeout;
@@ -31,7 +31,7 @@
 inline bool HasDrainTimedOut(const PlanContext& context,
                              const model::Host& host) {
   return host.state == model::HostState::kDraining &&
-         context.IsPastDrainBound(host) && !context.IsEmpty(host);
+         context.IsPastDrainTimeout(host) && !context.IsEmpty(host);
 }
 
 /// Sorts the hosts of a wave or roll-out into its lists by their state. Hosts
@@ -147,13 +147,13 @@
   std::vector<const model::Host*> hosts;
   for (const std::string& id : act.pending) {
     const model::Host* host = context.view().FindHost(id);
-    if (host != nullptr && IsFree(*host)) {
+    if (host != nullptr && IsFreeToDrain(*host)) {
       hosts.push_back(host);
     }
   }
   for (const std::string& id : act.postponed) {
     const model::Host* host = context.view().FindHost(id);
-    if (host != nullptr && IsFree(*host) && IsRetryDue(context, *host)) {
+    if (host != nullptr && IsFreeToDrain(*host) && IsRetryDue(context, *host)) {
       hosts.push_back(host);
     }
   }
--- a/packages/planning/src/buffer.cc
+++ b/packages/planning/src/buffer.cc
@@ -172,7 +172,7 @@
     const model::Resources* largest = &pool.host_shape;
     if (m_policy.across_shapes && pool.may_lend) {
       for (const model::Resources& shape : m_shapes.at(region)) {
-        if (FitsShape(shape, *largest)) {
+        if (CoversShape(shape, *largest)) {
           largest = &shape;
         }
       }
@@ -185,7 +185,7 @@
                   const model::Resources& reserve_shape) {
     const auto& hosts = m_view.PoolHosts(pool.name);
     group.pools.push_back(pool.name);
-    if (FitsShape(pool.host_shape, reserve_shape)) {
+    if (CoversShape(pool.host_shape, reserve_shape)) {
       group.reserve_pools.push_back(pool.name);
     }
     group.hosts.insert(group.hosts.end(), hosts.begin(), hosts.end());
--- a/packages/planning/src/controller.cc
+++ b/packages/planning/src/controller.cc
@@ -59,7 +59,7 @@
   }
   CancelUnneededMoves(context);
   AdvanceHosts(context, acts);
-  PlanMovesIn(context);
+  PlanMovesForStep(context);
   for (const model::Rollout& rollout : rollouts) {
     StartRolloutDrains(context, rollout);
   }
--- a/packages/planning/src/explain.cc
+++ b/packages/planning/src/explain.cc
@@ -86,7 +86,7 @@
     Add(is_known ? "waits for " + std::to_string(found->second) + " in flight"
                  : "waits: it isn't known what is in flight there");
     const Millis drain_timeout = m_context.view().PoolOf(m_host).drain_timeout;
-    Add(IsPlannedReason(m_host.drain_reason)
+    Add(IsPlannerDrainReason(m_host.drain_reason)
             ? "not empty after " + FormatDuration(drain_timeout) +
                   ", it goes back to its pool and is tried again later"
             : "drains without a bound, since an operator asked for it");
@@ -104,7 +104,7 @@
           (service.survives_rack() ? ""
                                    : "; the largest rack couldn't be lost"));
     }
-    if (IsFree(m_host)) {
+    if (IsFreeToDrain(m_host)) {
       const budget::Verdict verdict = m_context.budget().MayTakeAway(m_host.id);
       Add(verdict.is_allowed() ? "may be taken away now"
                                : "may not be taken away: " + verdict.Text());
--- a/packages/planning/src/host_progress.cc
+++ b/packages/planning/src/host_progress.cc
@@ -82,19 +82,19 @@
 bool CancelDrainIfObsolete(PlanContext& context,
                            const UpdatedActs& acts,
                            const Host& host) {
-  if (!IsPlannedReason(host.drain_reason)) {
+  if (!IsPlannerDrainReason(host.drain_reason)) {
     return false;
   }
   if (ActPermission(context, acts, host) == Permission::kGiveBack) {
-    context.Act(host, HostEvent::kCancelDrain,
-                host.act + " doesn't run any more");
+    context.PlanTransition(host, HostEvent::kCancelDrain,
+                           host.act + " doesn't run any more");
     return true;
   }
   const bool lacks_target_pool = host.drain_reason == DrainReason::kMove &&
                                  !context.fleet().pools.count(host.move_to);
   if (lacks_target_pool) {
-    context.Act(host, HostEvent::kCancelDrain,
-                "pool " + host.move_to + " doesn't exist");
+    context.PlanTransition(host, HostEvent::kCancelDrain,
+                           "pool " + host.move_to + " doesn't exist");
     return true;
   }
   return false;
@@ -107,14 +107,16 @@
     return;
   }
   if (context.IsEmpty(host)) {
-    context.Act(host, HostEvent::kConfirmEmpty, "nothing is in flight");
+    context.PlanTransition(host, HostEvent::kConfirmEmpty,
+                           "nothing is in flight");
     return;
   }
-  if (context.IsPastDrainBound(host)) {
+  if (context.IsPastDrainTimeout(host)) {
     const Millis bound = context.view().PoolOf(host).drain_timeout;
-    context.Act(host, HostEvent::kCancelDrain,
-                "not empty after " + FormatDuration(bound) +
-                    ": the stop is postponed, nothing in flight is cut off");
+    context.PlanTransition(
+        host, HostEvent::kCancelDrain,
+        "not empty after " + FormatDuration(bound) +
+            ": the stop is postponed, nothing in flight is cut off");
   }
 }
 
@@ -123,12 +125,13 @@
   if (host.drain_reason == DrainReason::kRollout) {
     version = TargetVersion(*RolloutOf(context, acts, host));
     if (host.version == version) {
-      context.Act(host, HostEvent::kCancelDrain, "has the version already");
+      context.PlanTransition(host, HostEvent::kCancelDrain,
+                             "has the version already");
       return;
     }
   }
-  context.Act(host, HostEvent::kStopForMaintenance, "drained and confirmed",
-              version);
+  context.PlanTransition(host, HostEvent::kStopForMaintenance,
+                         "drained and confirmed", version);
 }
 
 void AdvanceDrained(PlanContext& context,
@@ -137,8 +140,9 @@
   if (CancelDrainIfObsolete(context, acts, host)) {
     return;
   }
-  if (context.IsPastDrainBound(host)) {
-    context.Act(host, HostEvent::kCancelDrain, "held drained for too long");
+  if (context.IsPastDrainTimeout(host)) {
+    context.PlanTransition(host, HostEvent::kCancelDrain,
+                           "held drained for too long");
     return;
   }
   // Checks everything again: the host was confirmed empty on an older view, and
@@ -156,12 +160,14 @@
       return;
     case DrainReason::kMove:
       if (can_proceed) {
-        context.Act(host, HostEvent::kMovePool, "joins " + host.move_to);
+        context.PlanTransition(host, HostEvent::kMovePool,
+                               "joins " + host.move_to);
       }
       return;
     case DrainReason::kRetire:
       if (context.IsEmpty(host)) {
-        context.Act(host, HostEvent::kRetire, "drained to be retired");
+        context.PlanTransition(host, HostEvent::kRetire,
+                               "drained to be retired");
       }
       return;
     default:
@@ -174,8 +180,8 @@
                       const Host& host) {
   const Millis warm_up = context.view().PoolOf(host).warm_up;
   if (context.now() - host.state_since >= warm_up) {
-    context.Act(host, HostEvent::kWarm,
-                "warm after " + FormatDuration(warm_up));
+    context.PlanTransition(host, HostEvent::kWarm,
+                           "warm after " + FormatDuration(warm_up));
   }
 }
 
@@ -207,8 +213,8 @@
                             const std::vector<const Host*>& hosts) {
   std::vector<const Host*> cancellable;
   for (const Host* host : hosts) {
-    const bool is_cancellable = IsLeaving(*host) &&
-                                IsPlannedReason(host->drain_reason) &&
+    const bool is_cancellable = IsDrainingOrDrained(*host) &&
+                                IsPlannerDrainReason(host->drain_reason) &&
                                 !context.budget().IsHostWhole(host->id);
     if (is_cancellable) {
       cancellable.push_back(host);
@@ -221,7 +227,8 @@
   budget::Budget budget_after_cancels = context.budget();
   for (const Host* host : cancellable) {
     if (!budget_after_cancels.IsHostWhole(host->id)) {
-      context.Act(*host, HostEvent::kCancelDrain, "its service is short");
+      context.PlanTransition(*host, HostEvent::kCancelDrain,
+                             "its service is short");
       budget_after_cancels.GiveBack(host->id);
     }
   }
@@ -235,7 +242,7 @@
   std::vector<const Host*> hosts;
   if (only_act.empty()) {
     for (const auto& [id, host] : context.fleet().hosts) {
-      if (IsLeaving(host) || host.state == HostState::kReturning) {
+      if (IsDrainingOrDrained(host) || host.state == HostState::kReturning) {
         hosts.push_back(&host);
       }
     }
@@ -244,7 +251,7 @@
   }
   CancelDrainsForBudgets(context, hosts);
   for (const Host* host : hosts) {
-    if (!context.IsTouched(*host)) {
+    if (!context.HasPlannedAction(*host)) {
       kAdvanceByState[static_cast<size_t>(host->state)](context, acts, *host);
     }
   }
--- a/packages/planning/src/moves.cc
+++ b/packages/planning/src/moves.cc
@@ -16,7 +16,7 @@
 using model::Pool;
 
 bool IsMovingAway(const Host& host) {
-  return IsLeaving(host) && host.drain_reason == DrainReason::kMove;
+  return IsDrainingOrDrained(host) && host.drain_reason == DrainReason::kMove;
 }
 
 /// Whether the host will serve its pool once the transitions under way are
@@ -28,7 +28,8 @@
   if (host.state == HostState::kFailed) {
     return context.now() - host.state_since < max_failed_time;
   }
-  return !IsLeaving(host) || host.drain_reason == DrainReason::kMaintenance ||
+  return !IsDrainingOrDrained(host) ||
+         host.drain_reason == DrainReason::kMaintenance ||
          host.drain_reason == DrainReason::kRollout;
 }
 
@@ -55,7 +56,7 @@
         count.is_out_of_budget ? Millis(0) : context.policy().move_patience;
     for (const Host* host : context.view().PoolHosts(name)) {
       count.remaining += WillRemain(context, *host, max_failed_time);
-      count.free += IsFree(*host) && !context.IsTouched(*host);
+      count.free += IsFreeToDrain(*host) && !context.HasPlannedAction(*host);
       if (IsMovingAway(*host)) {
         ++arriving[host->move_to];
       }
@@ -86,8 +87,9 @@
     const bool is_past_cooldown =
         m_context.now() - host.last_moved >= m_context.policy().move_cooldown;
     const bool is_in_region = m_regions.empty() || m_regions.count(host.region);
-    return IsFree(host) && !m_context.IsTouched(host) && is_past_cooldown &&
-           is_in_region && FitsShape(host.capacity, m_count.pool->host_shape);
+    return IsFreeToDrain(host) && !m_context.HasPlannedAction(host) &&
+           is_past_cooldown && is_in_region &&
+           CoversShape(host.capacity, m_count.pool->host_shape);
   }
 
   /// Sort key: idle hosts first, then hosts in the zones and racks where the
@@ -317,13 +319,13 @@
       is_counted = true;
     }
     if (surplus[host.move_to]-- > 0) {
-      context.Act(host, HostEvent::kCancelDrain,
-                  "pool " + host.move_to + " has its hosts back");
+      context.PlanTransition(host, HostEvent::kCancelDrain,
+                             "pool " + host.move_to + " has its hosts back");
     }
   }
 }
 
-void PlanMovesIn(PlanContext& context) {
+void PlanMovesForStep(PlanContext& context) {
   MovePlanner(context).Plan();
 }
 
@@ -333,7 +335,7 @@
                               const PlanningPolicy& policy) {
   const FleetView view(fleet, policy);
   PlanContext context(view, budget, input, policy);
-  PlanMovesIn(context);
+  PlanMovesForStep(context);
   return context.TakeActions();
 }
 
--- a/packages/planning/src/plan_context.cc
+++ b/packages/planning/src/plan_context.cc
@@ -10,22 +10,22 @@
 using model::HostEvent;
 using model::HostState;
 
-bool IsFree(const Host& host) {
+bool IsFreeToDrain(const Host& host) {
   return host.state == HostState::kInPool && host.act.empty();
 }
 
-bool IsLeaving(const Host& host) {
+bool IsDrainingOrDrained(const Host& host) {
   return host.state == HostState::kDraining ||
          host.state == HostState::kDrained;
 }
 
-bool IsPlannedReason(DrainReason reason) {
+bool IsPlannerDrainReason(DrainReason reason) {
   return reason == DrainReason::kMaintenance || reason == DrainReason::kMove ||
          reason == DrainReason::kRollout;
 }
 
-bool FitsShape(const model::Resources& capacity,
-               const model::Resources& shape) {
+bool CoversShape(const model::Resources& capacity,
+                 const model::Resources& shape) {
   return capacity.processors >= shape.processors &&
          capacity.memory_gb >= shape.memory_gb &&
          capacity.accelerators >= shape.accelerators;
@@ -36,16 +36,16 @@
          std::tie(b.availability_zone, b.rack, b.id);
 }
 
-void PlanContext::Act(const Host& host,
-                      HostEvent event,
-                      std::string why,
-                      const std::string& version) {
-  if (!m_touched.insert(host.id).second) {
+void PlanContext::PlanTransition(const Host& host,
+                                 HostEvent event,
+                                 std::string why,
+                                 const std::string& version) {
+  if (!m_hosts_with_action.insert(host.id).second) {
     return;
   }
   if (event == HostEvent::kMovePool) {
     const std::vector<int>& services = m_budget.PoolServices(host.move_to);
-    m_joined_services.insert(services.begin(), services.end());
+    m_services_gaining_host.insert(services.begin(), services.end());
   }
   m_actions.push_back({.transition = {.host = host.id,
                                       .expected_epoch = host.epoch,
@@ -60,11 +60,12 @@
 bool PlanContext::Drain(const Host& host,
                         const DrainRequest& request,
                         std::string why) {
-  if (!IsFree(host) || IsTouched(host) || IsJoined(host.pool) ||
+  if (!IsFreeToDrain(host) || HasPlannedAction(host) ||
+      IsServiceGainingHost(host.pool) ||
       !m_budget.Take(host.id, request.gate).is_allowed()) {
     return false;
   }
-  m_touched.insert(host.id);
+  m_hosts_with_action.insert(host.id);
   m_actions.push_back({.transition = {.host = host.id,
                                       .expected_epoch = host.epoch,
                                       .event = HostEvent::kDrain,
@@ -76,10 +77,10 @@
   return true;
 }
 
-bool PlanContext::IsJoined(const std::string& pool) const {
+bool PlanContext::IsServiceGainingHost(const std::string& pool) const {
   const std::vector<int>& services = m_budget.PoolServices(pool);
   return std::any_of(services.begin(), services.end(), [this](int service) {
-    return m_joined_services.count(service) > 0;
+    return m_services_gaining_host.count(service) > 0;
   });
 }
 
@@ -88,8 +89,8 @@
   return found != m_input.in_flight.end() && found->second == 0;
 }
 
-bool PlanContext::IsPastDrainBound(const Host& host) const {
-  return IsLeaving(host) && IsPlannedReason(host.drain_reason) &&
+bool PlanContext::IsPastDrainTimeout(const Host& host) const {
+  return IsDrainingOrDrained(host) && IsPlannerDrainReason(host.drain_reason) &&
          now() - host.state_since >= m_view.PoolOf(host).drain_timeout;
 }
 
--- a/packages/planning/src/planning_p.h
+++ b/packages/planning/src/planning_p.h
@@ -82,10 +82,10 @@
 
   /// Plans a transition. Does nothing if the host already has one in this
   /// step.
-  void Act(const model::Host& host,
-           model::HostEvent event,
-           std::string why,
-           const std::string& version = {});
+  void PlanTransition(const model::Host& host,
+                      model::HostEvent event,
+                      std::string why,
+                      const std::string& version = {});
 
   /// Takes the host from the budgets and plans its drain. Returns false and
   /// plans nothing if a budget refuses, if the host isn't free or has a planned
@@ -95,18 +95,18 @@
              std::string why);
 
   /// Whether an action is planned for the host in this step.
-  bool IsTouched(const model::Host& host) const {
-    return m_touched.count(host.id) > 0;
+  bool HasPlannedAction(const model::Host& host) const {
+    return m_hosts_with_action.count(host.id) > 0;
   }
   /// Whether the host is known to have no requests or jobs in flight.
   bool IsEmpty(const model::Host& host) const;
   /// Whether a drain that planning started has lasted for its pool's drain
   /// timeout and the host is still draining or drained.
-  bool IsPastDrainBound(const model::Host& host) const;
+  bool IsPastDrainTimeout(const model::Host& host) const;
 
   /// Whether this step moves a host into a pool that shares a service with
   /// this one.
-  bool IsJoined(const std::string& pool) const;
+  bool IsServiceGainingHost(const std::string& pool) const;
 
   std::vector<Action> TakeActions() { return std::move(m_actions); }
 
@@ -116,23 +116,24 @@
   const StepInput& m_input;
   const PlanningPolicy& m_policy;
   std::vector<Action> m_actions;
-  std::unordered_set<std::string_view> m_touched;
+  std::unordered_set<std::string_view> m_hosts_with_action;
   /// Services that a host joins in this step. The host isn't available until
   /// it is warm, so the services may spare fewer hosts than the budget counted.
-  std::set<int> m_joined_services;
+  std::set<int> m_services_gaining_host;
 };
 
 /// Whether the host serves its pool and belongs to no act.
-bool IsFree(const model::Host& host);
+bool IsFreeToDrain(const model::Host& host);
 
 /// Whether the host is draining or drained.
-bool IsLeaving(const model::Host& host);
+bool IsDrainingOrDrained(const model::Host& host);
 
 /// Whether this is a reason for which planning, not an operator, starts drains.
-bool IsPlannedReason(model::DrainReason reason);
+bool IsPlannerDrainReason(model::DrainReason reason);
 
 /// Whether the capacity is at least that of the shape in each resource.
-bool FitsShape(const model::Resources& capacity, const model::Resources& shape);
+bool CoversShape(const model::Resources& capacity,
+                 const model::Resources& shape);
 
 /// Orders hosts by zone, rack, id.
 bool DomainLess(const model::Host& a, const model::Host& b);
@@ -164,7 +165,7 @@
 
 /// Cancels moves to pools that no longer need another host.
 void CancelUnneededMoves(PlanContext& context);
-void PlanMovesIn(PlanContext& context);
+void PlanMovesForStep(PlanContext& context);
 std::vector<model::Wave> ScheduleWavesForStep(const PlanContext& context);
 
 /// Returns the first host of the act that has been in maintenance for longer
--- a/packages/planning/src/schedule.cc
+++ b/packages/planning/src/schedule.cc
@@ -91,7 +91,7 @@
     for (const Host* host : m_context.view().PoolHosts(m_pool.name)) {
       ++m_hosts;
       m_maintained_in_last_day += Age(*host) < kDay;
-      if (IsFree(*host) && Age(*host) >= min_age &&
+      if (IsFreeToDrain(*host) && Age(*host) >= min_age &&
           !WasGivenUpInLastDay(*host)) {
         m_candidates.push_back(host);
       }
--- a/packages/planning/src/wave.cc
+++ b/packages/planning/src/wave.cc
@@ -114,7 +114,7 @@
   int spare = -found->second.target_hosts;
   bool is_any_claimed = false;
   for (const Host* host : context.view().PoolHosts(pool)) {
-    spare += IsFree(*host) && !context.IsTouched(*host);
+    spare += IsFreeToDrain(*host) && !context.HasPlannedAction(*host);
     is_any_claimed |= !host->act.empty();
   }
   return std::max(spare, is_any_claimed ? 0 : 1);
