--- a/bench/planning_bench.cc
+++ b/bench/planning_bench.cc
@@ -83,7 +83,7 @@
   const bool is_large = site.hosts > 500;
   return {.seed = 7,
           .step = is_large ? minutes(2) : minutes(1),
-          .checks_drains = false,
+          .rechecks_drains = false,
           .budget = {}};
 }
 
@@ -126,7 +126,7 @@
   const Millis time = RunUntil(driver, [&] {
     return driver.fleet().waves.at("wave").state == model::ActState::kDone;
   });
-  return {time, driver.counts().planned_violations};
+  return {time, driver.counts().planned_budget_violations};
 }
 
 Timing BaselineWave(const Site& site,
@@ -149,7 +149,7 @@
   start = driver.now();
   const Millis time = RunUntil(
       driver, [&] { return IsMaintainedSince(driver.fleet(), start); });
-  return {time, driver.counts().planned_violations};
+  return {time, driver.counts().planned_budget_violations};
 }
 
 /// Lets the racks of the first hosts fail in turn, one an hour and a half.
@@ -185,7 +185,7 @@
     losses.Step(driver);
     return is_done();
   });
-  return {{time, driver.counts().planned_violations},
+  return {{time, driver.counts().planned_budget_violations},
           driver.counts().service_short_steps};
 }
 
@@ -232,7 +232,7 @@
     }
   }
   PlanningPolicy policy;
-  policy.stage_bake = bake;
+  policy.stage_bake_time = bake;
   FleetDriver driver(fleet, Controller(policy), Options(site));
   const Millis time = RunUntil(driver, [&] {
     const auto& rollouts = driver.fleet().rollouts;
@@ -240,7 +240,7 @@
       return r.second.state == model::ActState::kDone;
     });
   });
-  return {time, driver.counts().planned_violations};
+  return {time, driver.counts().planned_budget_violations};
 }
 
 Timing BaselineRollouts(const Site& site, const model::Fleet& fleet) {
@@ -263,7 +263,7 @@
       return entry.second.version == "2" && entry.second.act.empty();
     });
   });
-  return {time, driver.counts().planned_violations};
+  return {time, driver.counts().planned_budget_violations};
 }
 
 // --- Four weeks with failures ------------------------------------------------
@@ -350,7 +350,7 @@
   }
 
  private:
-  const Millis m_patience = PlanningPolicy().move_patience;
+  const Millis m_patience = PlanningPolicy().replacement_delay;
   std::map<std::string, int> m_most_missing;
 };
 
@@ -419,8 +419,9 @@
       fleet, strategy.reserve, strategy.wave, strategy.weeks.counts.moves);
   std::printf("  %-30s %4d  %7.1f h %6d (%3d back) %9d %10.1f %10.1f   %8.1f\n",
               strategy.name.c_str(), strategy.reserve, Hours(strategy.wave),
-              strategy.weeks.counts.moves, strategy.weeks.counts.moves_back,
-              strategy.weeks.counts.planned_violations,
+              strategy.weeks.counts.moves,
+              strategy.weeks.counts.moves_back_within_day,
+              strategy.weeks.counts.planned_budget_violations,
               strategy.weeks.service_short_hours,
               strategy.weeks.pool_short_hours, cost.weighted);
 }
@@ -443,7 +444,7 @@
   FleetGenerator shared = targets;
   shared.AddPlannedReserve();
   FleetGenerator across = targets;
-  across.AddPlannedReserve({.across_shapes = true});
+  across.AddPlannedReserve({.share_across_shapes = true});
   FleetGenerator n_plus_one = targets;
   n_plus_one.AddReserveToEachPool(1);
   FleetGenerator per_pool = targets;
@@ -465,7 +466,8 @@
   PrintStorm("wave, planned, racks lost", PlannedStorm(site, fleet), bound);
   PrintStorm("wave, fixed batches, racks lost", BatchStorm(site, fleet), bound);
   PrintTiming("roll-outs of all services, planned",
-              PlannedRollouts(site, fleet, PlanningPolicy().stage_bake), bound);
+              PlannedRollouts(site, fleet, PlanningPolicy().stage_bake_time),
+              bound);
   PrintTiming("roll-outs, planned, not watched",
               PlannedRollouts(site, fleet, Millis(0)), bound);
   PrintTiming("roll-outs, one host of each pool", BaselineRollouts(site, fleet),
--- a/packages/planning/include/laurelhall/planning/buffer.h
+++ b/packages/planning/include/laurelhall/planning/buffer.h
@@ -29,7 +29,7 @@
   /// Whether pools of smaller hosts share the reserve of pools with larger
   /// hosts. This takes fewer hosts, but the smaller pools have no reserve of
   /// their own and are below target while one of their hosts is in maintenance.
-  bool across_shapes = false;
+  bool share_across_shapes = false;
 };
 
 /// A pool's own reserve, which covers losses without waiting for a host to be
@@ -89,10 +89,10 @@
 /// Sizes the reserve of each pool and of each group of pools that share one.
 ///
 /// @remarks Thread-safe. Pools share a reserve if they are in the same region,
-///   may lend and have hosts of the same shape; with across_shapes the larger
-///   shape's reserve serves the smaller shapes too. The loss of a rack or zone
-///   and single failures aren't added up: the larger of them counts, since a
-///   wave under way pauses for either.
+///   may lend and have hosts of the same shape; with share_across_shapes the
+///   larger shape's reserve serves the smaller shapes too. The loss of a rack
+///   or zone and single failures aren't added up: the larger of them counts,
+///   since a wave under way pauses for either.
 BufferPlan PlanBuffers(const model::Fleet& fleet,
                        const BufferPolicy& policy = {});
 
--- a/packages/planning/include/laurelhall/planning/moves.h
+++ b/packages/planning/include/laurelhall/planning/moves.h
@@ -17,8 +17,8 @@
 ///   by augmenting paths, so that a pool isn't left short where another
 ///   assignment would have served it. Two waiting times prevent needless moves,
 ///   both read from the hosts: a host failed since `state_since` isn't replaced
-///   until move_patience has passed, and a host moved at `last_moved` stays for
-///   move_cooldown. Thread-safe if no other thread uses the budget.
+///   until replacement_delay has passed, and a host moved at `last_moved` stays
+///   for move_cooldown. Thread-safe if no other thread uses the budget.
 std::vector<Action> PlanMoves(const model::Fleet& fleet,
                               budget::Budget& budget,
                               const StepInput& input,
--- a/packages/planning/include/laurelhall/planning/plan.h
+++ b/packages/planning/include/laurelhall/planning/plan.h
@@ -46,27 +46,27 @@
   int max_drain_tries = 3;
   /// While a rack or zone is down, waves and roll-outs that it affects wait at
   /// least until no host there has failed for this time.
-  Millis settle{std::chrono::minutes(5)};
+  Millis domain_settle_time{std::chrono::minutes(5)};
   /// A rack or zone counts as down if at least this many of its hosts have
   /// failed and these are more than half of its hosts.
   int min_failures_of_down_domain = 2;
 
   /// Share of the pool's maintenance period over which the maintenance of its
   /// hosts is spread; sets the daily quota.
-  double schedule_spread = 0.75;
+  double schedule_spread_share = 0.75;
   /// Share of the period after a host's maintenance in which it isn't scheduled
   /// again.
-  double schedule_rest = 0.5;
+  double schedule_min_gap_share = 0.5;
   /// Share of the period, at its end, in which a host is scheduled regardless
   /// of the daily quota.
-  double schedule_lead = 0.125;
+  double schedule_urgent_share = 0.125;
 
   /// Time for which the new version is observed after each of the roll-out's
   /// first stages, unless the roll-out sets its own.
-  Millis stage_bake{std::chrono::minutes(5)};
+  Millis stage_bake_time{std::chrono::minutes(5)};
   /// Requests that a version's hosts must have answered before its error share
   /// is compared.
-  int64_t compare_requests = 50;
+  int64_t min_compared_requests = 50;
   /// The new version is rolled back if its error share exceeds that of the old
   /// version times error_ratio, plus error_margin: by default twice the old
   /// share plus a hundredth.
@@ -75,7 +75,7 @@
 
   /// A failed host may come back and isn't replaced before this time, unless a
   /// service of its pool is out of budget.
-  Millis move_patience{std::chrono::minutes(10)};
+  Millis replacement_delay{std::chrono::minutes(10)};
   /// A host that changed its pool isn't moved again before this time.
   Millis move_cooldown{std::chrono::hours(24)};
 };
--- a/packages/planning/src/act_progress.cc
+++ b/packages/planning/src/act_progress.cc
@@ -41,8 +41,8 @@
                              bool is_any_blocked) {
   const std::set<int> services = ServicesOf(context, pools);
   for (const DownDomain& domain : context.view().down_domains()) {
-    const bool is_recent =
-        context.now() - domain.last_failure < context.policy().settle;
+    const bool is_recent = context.now() - domain.last_failure <
+                           context.policy().domain_settle_time;
     const bool must_pause = (is_recent || is_any_blocked) &&
                             AffectsServices(context, domain, services);
     if (must_pause) {
--- a/packages/planning/src/buffer.cc
+++ b/packages/planning/src/buffer.cc
@@ -78,7 +78,7 @@
   sizing.largest_zone = LargestCount(zones);
   const double in_maintenance_share =
       static_cast<double>(policy.maintenance_time.count()) /
-      (PlanningPolicy().schedule_spread *
+      (PlanningPolicy().schedule_spread_share *
        std::max(1.0, static_cast<double>(period.count())));
   sizing.wave =
       static_cast<int>(std::ceil(sizing.hosts * in_maintenance_share));
@@ -166,11 +166,12 @@
   }
 
   /// Returns the host shape of the reserve that the pool shares: its own, or
-  /// with across_shapes a larger one of its region that also fits the pool.
+  /// with share_across_shapes a larger one of its region that also fits the
+  /// pool.
   const model::Resources& ReserveShape(const Pool& pool,
                                        const std::string& region) const {
     const model::Resources* largest = &pool.host_shape;
-    if (m_policy.across_shapes && pool.may_lend) {
+    if (m_policy.share_across_shapes && pool.may_lend) {
       for (const model::Resources& shape : m_shapes.at(region)) {
         if (CoversShape(shape, *largest)) {
           largest = &shape;
--- a/packages/planning/src/moves.cc
+++ b/packages/planning/src/moves.cc
@@ -53,7 +53,7 @@
     count.pool = &pool;
     count.is_out_of_budget = !context.budget().IsPoolWhole(name);
     const Millis max_failed_time =
-        count.is_out_of_budget ? Millis(0) : context.policy().move_patience;
+        count.is_out_of_budget ? Millis(0) : context.policy().replacement_delay;
     for (const Host* host : context.view().PoolHosts(name)) {
       count.remaining += WillRemain(context, *host, max_failed_time);
       count.free += IsFreeToDrain(*host) && !context.HasPlannedAction(*host);
--- a/packages/planning/src/rollout.cc
+++ b/packages/planning/src/rollout.cc
@@ -218,7 +218,7 @@
     const double new_error_share = ErrorShare(sums.new_version);
     const double old_error_share = ErrorShare(sums.old_version);
     const bool has_enough_requests =
-        RequestCount(sums.new_version) >= policy.compare_requests;
+        RequestCount(sums.new_version) >= policy.min_compared_requests;
     if (has_enough_requests &&
         new_error_share >
             old_error_share * policy.error_ratio + policy.error_margin) {
@@ -228,7 +228,7 @@
     }
     const bool is_known_as_good =
         has_enough_requests &&
-        RequestCount(sums.old_version) >= policy.compare_requests &&
+        RequestCount(sums.old_version) >= policy.min_compared_requests &&
         new_error_share <= old_error_share;
     const budget::ServiceBudget* service =
         m_context.budget().Find(m_rollout.service);
@@ -274,7 +274,7 @@
 
   Millis BakeTime() const {
     return m_rollout.bake > Millis(0) ? m_rollout.bake
-                                      : m_context.policy().stage_bake;
+                                      : m_context.policy().stage_bake_time;
   }
 
   void AdvanceStageIfDone() {
--- a/packages/planning/src/schedule.cc
+++ b/packages/planning/src/schedule.cc
@@ -58,7 +58,7 @@
 
   /// Time until the host's maintenance must start regardless of the quota.
   Millis TimeUntilMandatory(const Host& host) const {
-    const double mandatory_share = m_context.policy().schedule_lead;
+    const double mandatory_share = m_context.policy().schedule_urgent_share;
     return FractionOf(m_pool.maintenance_period, 1 - mandatory_share) -
            Age(host);
   }
@@ -86,8 +86,8 @@
   }
 
   void CollectCandidates() {
-    const Millis min_age =
-        FractionOf(m_pool.maintenance_period, m_context.policy().schedule_rest);
+    const Millis min_age = FractionOf(
+        m_pool.maintenance_period, m_context.policy().schedule_min_gap_share);
     for (const Host* host : m_context.view().PoolHosts(m_pool.name)) {
       ++m_hosts;
       m_maintained_in_last_day += Age(*host) < kDay;
@@ -117,8 +117,8 @@
   /// Number of hosts to start per day to spread all of them evenly over the
   /// policy's share of the period.
   int DailyQuota() const {
-    const Millis spread_time = FractionOf(m_pool.maintenance_period,
-                                          m_context.policy().schedule_spread);
+    const Millis spread_time = FractionOf(
+        m_pool.maintenance_period, m_context.policy().schedule_spread_share);
     const double days = std::max(1.0, static_cast<double>(spread_time.count()) /
                                           static_cast<double>(kDay.count()));
     return static_cast<int>(std::ceil(m_hosts / days));
--- a/packages/planning/tests/fleet_driver.cc
+++ b/packages/planning/tests/fleet_driver.cc
@@ -218,7 +218,7 @@
   Host& host = m_fleet.hosts.at(transition.host);
   const bool is_drain = transition.event == HostEvent::kDrain;
   const bool is_refused =
-      is_drain && m_options.checks_drains &&
+      is_drain && m_options.rechecks_drains &&
       transition.expected_epoch == host.epoch &&
       !budget::MayDrain(m_fleet, host.id, m_options.budget).is_allowed();
   if (is_refused) {
@@ -234,13 +234,13 @@
   }
   if (is_drain) {
     ++m_counts.planned_drains;
-    m_counts.planned_violations += !BudgetsHold(host);
+    m_counts.planned_budget_violations += !BudgetsHold(host);
   } else if (transition.event == HostEvent::kStopForMaintenance) {
     m_counts.cut_off += m_input.in_flight[host.id] > 0;
     m_versions_to_install[host.id] = transition.version;
   } else if (transition.event == HostEvent::kMovePool) {
     ++m_counts.moves;
-    m_counts.moves_back += is_within_day && host.pool == moved_from;
+    m_counts.moves_back_within_day += is_within_day && host.pool == moved_from;
   }
 }
 
--- a/packages/planning/tests/fleet_driver.h
+++ b/packages/planning/tests/fleet_driver.h
@@ -26,21 +26,22 @@
   Millis max_repair_time{std::chrono::hours(8)};
   /// Whether a drain is checked against the budgets again on commit, as the
   /// replicated state does.
-  bool checks_drains = true;
+  bool rechecks_drains = true;
   budget::BudgetPolicy budget;
 };
 
-/// Counts over the whole run. planned_violations must stay at zero.
+/// Counts over the whole run. planned_budget_violations must stay at zero.
 struct DriverCounts {
-  int planned_drains = 0;      ///< Planned drains that were committed.
-  int planned_violations = 0;  ///< Budgets broken by a planned drain.
+  int planned_drains = 0;             ///< Planned drains that were committed.
+  int planned_budget_violations = 0;  ///< Budgets broken by a planned drain.
   /// Drains refused on commit though planned on the current fleet.
   int refused_current_drains = 0;
   /// Drains refused on commit that were planned on an older fleet.
   int refused_stale_drains = 0;
   int cut_off = 0;  ///< Hosts stopped with requests or jobs in flight.
   int moves = 0;
-  int moves_back = 0;  ///< Moves to the pool that the host left within a day.
+  int moves_back_within_day =
+      0;               ///< Moves to the pool that the host left within a day.
   int maintained = 0;  ///< Hosts that returned from maintenance.
   /// Transitions other than MovePool that changed a host's pool.
   int pool_changes_outside_moves = 0;
--- a/packages/planning/tests/planning_test.cc
+++ b/packages/planning/tests/planning_test.cc
@@ -132,11 +132,11 @@
 }
 
 void CheckNoViolations(const DriverCounts& counts) {
-  CHECK(counts.planned_violations == 0);
+  CHECK(counts.planned_budget_violations == 0);
   CHECK(counts.refused_current_drains == 0);
   CHECK(counts.cut_off == 0);
   CHECK(counts.pool_changes_outside_moves == 0);
-  CHECK(counts.moves_back == 0);
+  CHECK(counts.moves_back_within_day == 0);
 }
 
 /// Makes at most one random disturbance: failures, a drain or its cancellation
@@ -672,7 +672,7 @@
                   "one reserve of the larger shape") {
   m_fleet.pools["a"].host_shape.accelerators = 4;
   CHECK(PlanBuffers(m_fleet).groups.size() == 2);
-  const BufferPlan plan = PlanBuffers(m_fleet, {.across_shapes = true});
+  const BufferPlan plan = PlanBuffers(m_fleet, {.share_across_shapes = true});
   REQUIRE(plan.groups.size() == 1);
   CHECK(plan.groups.front().reserve_pools == std::vector<std::string>{"a"});
   CHECK(plan.total == 5);
