--- a/packages/placement/include/laurelhall/placement/placer.h
+++ b/packages/placement/include/laurelhall/placement/placer.h
@@ -45,7 +45,7 @@
   /// before borrowed runs that cannot checkpoint are stopped for it. Borrowed
   /// resources are given back within the sum of this time, the checkpoint
   /// timeout and the lease timeout.
-  Millis reclaim_patience{300'000};
+  Millis reclaim_timeout{300'000};
   /// A job that waits longer is starved: it goes before others of its priority,
   /// and on the host reserved for it only jobs that leave its room free are
   /// started.
--- a/packages/placement/src/explain.cc
+++ b/packages/placement/src/explain.cc
@@ -33,7 +33,7 @@
       fmt::format("It waits in pool {} behind {} jobs.", job.pool, jobs_ahead));
   Ledger& ledger = context.ledger;
   const auto size = context.estimates.Size(job);
-  const TeamUse& team = ledger.teams[ledger.FindTeam(job.team)];
+  const TeamUsage& team = ledger.teams[ledger.FindTeam(job.team)];
   if (!ledger.IsGuaranteed(team, job, size)) {
     lines.push_back(fmt::format("Team {} uses {}; it runs beyond the quota {}.",
                                 job.team, Describe(team.total()),
@@ -55,9 +55,9 @@
   int with_room = 0;
   for (const int index : context.ledger.pools[pool].hosts) {
     const HostSlot& slot = context.ledger.hosts[index];
-    ++(slot.is_open ? available : unavailable);
-    with_room +=
-        slot.is_open && Fits(context.ledger.SizeOn(slot, job, size), slot.free);
+    ++(slot.accepts_work ? available : unavailable);
+    with_room += slot.accepts_work &&
+                 Fits(context.ledger.SizeOn(slot, job, size), slot.free);
   }
   lines.push_back(
       fmt::format("Of the pool's hosts {} take work, {} are drained, failed or "
--- a/packages/placement/src/ledger.cc
+++ b/packages/placement/src/ledger.cc
@@ -67,7 +67,7 @@
   return free + releasing - claimed;
 }
 
-Resources TeamUse::UsageUpToRank(size_t rank) const {
+Resources TeamUsage::UsageUpToRank(size_t rank) const {
   Resources sum;
   for (size_t i = 0; i <= rank; ++i) {
     sum = sum + usage_by_rank[i];
@@ -118,7 +118,7 @@
     slot.rack = FindOrAddIndex(m_rack_index, host.rack);
     slot.zone = FindOrAddIndex(m_zone_index, host.availability_zone);
     slot.failure_score = evidence.Score(id);
-    slot.is_open = host.state == HostState::kInPool;
+    slot.accepts_work = host.state == HostState::kInPool;
     slot.last_run_succeeded = evidence.IsProven(id);
     const int index = static_cast<int>(hosts.size());
     m_host_index.emplace(id, index);
@@ -156,7 +156,7 @@
     std::sort(aside.begin(), aside.end());
     aside.resize(std::min(aside.size(), limit));
     for (const auto& [at, index] : aside) {
-      hosts[static_cast<size_t>(index)].is_open = false;
+      hosts[static_cast<size_t>(index)].accepts_work = false;
     }
   }
 }
@@ -210,7 +210,7 @@
   slot.free = slot.free - run.held;
   slot.runs.push_back(index);
   if (!run.is_releasing) {
-    TeamUse& team = teams[static_cast<size_t>(run.team)];
+    TeamUsage& team = teams[static_cast<size_t>(run.team)];
     team.usage_by_rank[PriorityRank(job)] =
         team.usage_by_rank[PriorityRank(job)] + job.reserved;
     team.runs.push_back(index);
@@ -220,7 +220,7 @@
     slot.releasing = slot.releasing + run.held;
   } else {
     // A worker that did not confirm in time gets no new work until it does.
-    slot.is_open = false;
+    slot.accepts_work = false;
   }
   runs.push_back(run);
 }
@@ -263,7 +263,7 @@
 int Ledger::FindTeam(std::string_view name) {
   const int index = FindOrAddIndex(m_team_index, name);
   if (static_cast<size_t>(index) == teams.size()) {
-    TeamUse& team = teams.emplace_back();
+    TeamUsage& team = teams.emplace_back();
     team.name = name;
     const auto quota = m_fleet.quotas.find(std::string(name));
     team.quota = quota == m_fleet.quotas.end() ? nullptr : &quota->second;
@@ -282,7 +282,7 @@
              : size;
 }
 
-bool Ledger::IsGuaranteed(const TeamUse& team,
+bool Ledger::IsGuaranteed(const TeamUsage& team,
                           const Job& job,
                           const Resources& size) const {
   if (!m_has_quotas) {
@@ -299,7 +299,7 @@
   return Fits(team.UsageUpToRank(PriorityRank(job)) + need, guaranteed);
 }
 
-bool Ledger::MayBorrow(const TeamUse& team, const Resources& size) const {
+bool Ledger::MayBorrow(const TeamUsage& team, const Resources& size) const {
   if (!m_has_quotas || team.quota == nullptr || team.quota->may_borrow) {
     return true;
   }
@@ -307,7 +307,7 @@
               team.quota->guaranteed);
 }
 
-void Ledger::MarkBorrowed(TeamUse& team) {
+void Ledger::MarkBorrowed(TeamUsage& team) {
   if (team.has_borrowed_marks || !m_has_quotas) {
     return;
   }
@@ -339,7 +339,7 @@
   HostSlot& slot = hosts[static_cast<size_t>(host)];
   slot.free = slot.free - size;
   ++slot.starts;
-  TeamUse& use = teams[static_cast<size_t>(team)];
+  TeamUsage& use = teams[static_cast<size_t>(team)];
   use.usage_by_rank[PriorityRank(job)] =
       use.usage_by_rank[PriorityRank(job)] + size;
   AddTeamRuns(team, slot, 1);
@@ -359,7 +359,7 @@
   HostSlot& slot = hosts[static_cast<size_t>(run.host)];
   run.is_releasing = true;
   slot.releasing = slot.releasing + run.held;
-  TeamUse& team = teams[static_cast<size_t>(run.team)];
+  TeamUsage& team = teams[static_cast<size_t>(run.team)];
   Resources& use = team.usage_by_rank[PriorityRank(*run.job)];
   use = use - run.job->reserved;
   AddTeamRuns(run.team, slot, -1);
--- a/packages/placement/src/ledger_p.h
+++ b/packages/placement/src/ledger_p.h
@@ -49,7 +49,7 @@
 
 struct HostSlot {
   const model::Host* host = nullptr;
-  bool is_open = false;             // Accepts new runs.
+  bool accepts_work = false;        // Accepts new runs.
   bool last_run_succeeded = false;  // As far as this leader saw.
   int failure_score = 0;  // WorkerEvidence::Score(): 0 without failures.
   int rack = 0;
@@ -71,7 +71,7 @@
   model::Resources expected() const;
 };
 
-struct TeamUse {
+struct TeamUsage {
   std::string_view name;
   const model::Quota* quota = nullptr;
   // Indexed by PriorityRank().
@@ -121,7 +121,7 @@
 
   std::vector<HostSlot> hosts;
   std::vector<Run> runs;
-  std::vector<TeamUse> teams;
+  std::vector<TeamUsage> teams;
   std::vector<PoolState> pools;
   std::vector<const model::Job*> queued_jobs;
   // Running jobs whose host is not in the fleet.
@@ -138,15 +138,15 @@
                           const model::Resources& size) const;
 
   // Whether a job of this size would run within its team's guarantee.
-  bool IsGuaranteed(const TeamUse& team,
+  bool IsGuaranteed(const TeamUsage& team,
                     const model::Job& job,
                     const model::Resources& size) const;
-  bool MayBorrow(const TeamUse& team, const model::Resources& size) const;
+  bool MayBorrow(const TeamUsage& team, const model::Resources& size) const;
 
   // Marks the team's runs that exceed its guarantee, which covers the most
   // urgent runs first and among these the earliest started. Does nothing if
   // called again.
-  void MarkBorrowed(TeamUse& team);
+  void MarkBorrowed(TeamUsage& team);
 
   void Start(int host,
              int team,
--- a/packages/placement/src/place.cc
+++ b/packages/placement/src/place.cc
@@ -168,7 +168,7 @@
 
 // The share of its guarantee that a team uses, or of the whole fleet if it has
 // no guarantee. The team with the smallest share goes first.
-double ServedShare(const TeamUse& team, const Resources& fleet) {
+double ServedShare(const TeamUsage& team, const Resources& fleet) {
   const Resources& whole =
       team.quota != nullptr && team.quota->guaranteed.processors > 0
           ? team.quota->guaranteed
@@ -234,7 +234,7 @@
   // Urgent work need not wait until a run on the worker has succeeded.
   const bool is_urgent = queued.job->priority == Priority::kUrgent;
   const int max_starts = is_urgent ? slot.max_urgent_starts : slot.max_starts;
-  if (!slot.is_open || slot.starts >= max_starts ||
+  if (!slot.accepts_work || slot.starts >= max_starts ||
       !Fits(queued.job->declared, slot.host->capacity)) {
     return false;
   }
--- a/packages/placement/src/preempt.cc
+++ b/packages/placement/src/preempt.cc
@@ -55,7 +55,7 @@
 // Whether a job within its team's guarantee still waits for borrowed runs to
 // end on their own, before runs that cannot checkpoint are stopped for it.
 bool WaitsForBorrowers(const StepContext& context, const QueuedJob& queued) {
-  const Millis max_wait = context.init.reclaim_patience;
+  const Millis max_wait = context.init.reclaim_timeout;
   return context.now < queued.waiting_since + max_wait &&
          context.now + max_wait < queued.latest_start;
 }
@@ -200,7 +200,7 @@
   HostSlot& slot = context.ledger.hosts[host];
   slot.claimed = slot.claimed + size;
   slot.has_urgent_claim |= claimant.is_urgent;
-  TeamUse& team = context.ledger.teams[claimant.queued.team];
+  TeamUsage& team = context.ledger.teams[claimant.queued.team];
   Resources& use = team.usage_by_rank[PriorityRank(*claimant.queued.job)];
   use = use + size;
 }
@@ -341,7 +341,7 @@
 }
 
 bool MakeQuotaRoom(StepContext& context, const QueuedJob& queued) {
-  TeamUse& team = context.ledger.teams[queued.team];
+  TeamUsage& team = context.ledger.teams[queued.team];
   const Claimant claimant{queued, true, true};
   std::vector<VictimCost> victims;
   for (const int index : team.runs) {
--- a/packages/placement/tests/placer_test.cc
+++ b/packages/placement/tests/placer_test.cc
@@ -281,7 +281,7 @@
   Run(Millis(10'000));
   CHECK(m_workers.work_lost == Millis(0));
   CHECK(RunningProcessors("b") > 0);
-  Run(init.reclaim_patience + init.checkpoint_timeout + init.lease_timeout -
+  Run(init.reclaim_timeout + init.checkpoint_timeout + init.lease_timeout -
       Millis(10'000));
   CHECK(RunningProcessors("b") == 64);
   CHECK(RunningProcessors("a") == 64);
