--- a/bench/placement_bench.cc
+++ b/bench/placement_bench.cc
@@ -52,9 +52,9 @@
 using model::JobState;
 using model::Priority;
 using model::Resources;
+using placement::ActualJob;
 using placement::FakeWorkers;
 using placement::JobReport;
-using placement::TrueJob;
 
 constexpr WallTime kBegin{Millis(1'000'000'000)};
 constexpr Millis kStep{500};
@@ -128,7 +128,7 @@
                    : kind < 0.8 ? Priority::kStandard
                                 : Priority::kBatch;
     job.submitted = now;
-    TrueJob as_is;
+    ActualJob as_is;
     Shape(job, as_is);
     const double work =
         as_is.used.processors * static_cast<double>(as_is.run_time.count());
@@ -136,7 +136,7 @@
     return work;
   }
 
-  void Shape(Job& job, TrueJob& as_is) {
+  void Shape(Job& job, ActualJob& as_is) {
     const auto kind = m_random() % kKinds;
     job.kind = fmt::format("k{}", kind);
     job.can_checkpoint = m_random() % 2 == 0;
@@ -272,7 +272,7 @@
 }
 
 void NoteEnd(const Job& job,
-             const TrueJob& as_is,
+             const ActualJob& as_is,
              WallTime now,
              Result& result) {
   result.useful +=
--- a/packages/dispatch/src/orders.cc
+++ b/packages/dispatch/src/orders.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-// How long a hold request to an idle worker waits for a run to end. The longest
+// How long a hold call to an idle worker waits for a run to end. The longest
 // wait that workers allow, so that an idle worker costs half a request a
 // second.
 constexpr Millis kIdleHoldWait{2'000};
@@ -22,7 +22,7 @@
 // reported load covers half a second. On a worker that tests crash suspects: it
 // is soon free again.
 constexpr Millis kPacedHoldWait{500};
-// Between two hold requests to one worker, so that runs that end at about the
+// Between two hold calls to one worker, so that runs that end at about the
 // same time are reported together.
 constexpr Millis kHoldInterval{60};
 constexpr Millis kHoldRetryDelay{200};
@@ -31,9 +31,9 @@
 // A worker that last listed its runs within this time is taken to be the same
 // incarnation. After a crash, orders fail before the worker can have restarted,
 // carried out a late order and ended its run. A busy leader may take as long
-// from one list to the next hold request.
+// from one list to the next hold call.
 constexpr Millis kSameIncarnationTime{4'000};
-// How long an answer to a hold request may take beyond the requested wait.
+// How long an answer to a hold call may take beyond the requested wait.
 constexpr Millis kHoldAnswerMargin{600};
 constexpr Millis kOrderRetryDelay{100};
 // How long a start waits for its worker to report its capacity before its task
@@ -470,7 +470,7 @@
              m_init.bounds.longest_lease / kLeaseRenewalDivisor;
 }
 
-// Whether the lease has to be renewed by a separate request. A hold request
+// Whether the lease has to be renewed by a separate request. A hold call
 // that waits, or whose ended runs are being committed, may delay the next one
 // for seconds; the worker's lease must not expire meanwhile.
 bool Leadership::IsSeparateRenewalDue(const WorkerLink& link) const {
@@ -492,7 +492,7 @@
                        });
 }
 
-// Ignores the lists in the reply: the hold request in flight handles them.
+// Ignores the lists in the reply: the hold call in flight handles them.
 void Leadership::OnLeaseRenewalReply(const std::string& worker,
                                      uint64_t incarnation,
                                      const HoldReply& reply) {
@@ -728,7 +728,7 @@
               .With("run", running.run)
               .With("worker", worker)
               .With("why", "not-known"));
-      // A lost stop is sent again after the next hold request.
+      // A lost stop is sent again after the next hold call.
       RunUnderLeaderLease(
           [this, order = StopOrder{m_links.at(worker).address, running.task,
                                    running.run, FenceOf(m_links.at(worker)),
@@ -753,7 +753,7 @@
 }
 
 // Ends the runs that the worker took or barred and that the answer to a later
-// hold request does not list. An unlisted run of an earlier leader may never
+// hold call does not list. An unlisted run of an earlier leader may never
 // have been sent, so its start is sent again.
 void Leadership::EndMissingRuns(const Ledger& ledger,
                                 const std::string& worker,
@@ -862,7 +862,7 @@
         if (self == nullptr || reply.outcome == CallOutcome::kDone) {
           return;
         }
-        // Sent again after the next hold request.
+        // Sent again after the next hold call.
         const auto link = self->m_links.find(worker);
         if (link != self->m_links.end() &&
             link->second.pacer.told.contains(key)) {
@@ -890,7 +890,7 @@
     link.ends_seen = last_end;
     SendHold(worker, link, Millis(0));
   }
-  // No hold request until the commit: it would report the same runs again.
+  // No hold call until the commit: it would report the same runs again.
   link.is_hold_under_way = true;
   std::vector<RunKey> ended;
   for (const scheduling::Record& record : records) {
@@ -910,7 +910,7 @@
       WorkerLink& link = found->second;
       link.is_hold_under_way = false;
       link.is_awaiting_first_list = false;
-      // With the mutation, a hold request is in flight already.
+      // With the mutation, a hold call is in flight already.
       const bool is_hold_sent = m_init.mutations.is_end_acknowledged_early;
       if (outcome == CommitOutcome::kCommitted && !is_hold_sent) {
         link.ends_seen = std::max(link.ends_seen, last_end);
--- a/packages/dispatch/src/relay_pool.cc
+++ b/packages/dispatch/src/relay_pool.cc
@@ -10,7 +10,7 @@
 namespace {
 
 // Orders made within this time are sent to a relay together: the starts of one
-// plan, the hold requests of one tick.
+// plan, the hold calls of one tick.
 constexpr Millis kBatchDelay{3};
 // How long a relay's request is parked until there are orders.
 constexpr Millis kMaxParkTime{400};
@@ -462,7 +462,7 @@
 }
 
 // Completes the orders that a lost relay may or may not have carried out. Not
-// left to their timeouts: a hold request that is still pending keeps its worker
+// left to their timeouts: a hold call that is still pending keeps its worker
 // without another one for seconds.
 void RelayPool::FailHandedOver(const std::string& relay) {
   std::vector<uint64_t> numbers;
--- a/packages/dispatch/tests/incidents/listed_run_barred_test.cc
+++ b/packages/dispatch/tests/incidents/listed_run_barred_test.cc
@@ -1,5 +1,5 @@
 // Guards against running persistent tasks that are stopped without a reason. A
-// start is carried out, but its answer is late or lost, and a hold request then
+// start is carried out, but its answer is late or lost, and a hold call then
 // lists the run. If the leader ignores the list, it repeats the start, and when
 // the repeat is refused or not sent, it bars the run, which stops it.
 
@@ -49,7 +49,7 @@
                   "Dispatcher, run is listed and repeated start is refused, "
                   "run is kept") {
   REQUIRE(world.starts() == 2);
-  world.Advance(Millis(200));  // A hold request lists the run.
+  world.Advance(Millis(200));  // A hold call lists the run.
   world.call_faults.refused = 1;
   world.Advance(Millis(600));
   world.call_faults.refused = 0;
--- a/packages/placement/include/laurelhall/placement/estimates.h
+++ b/packages/placement/include/laurelhall/placement/estimates.h
@@ -45,10 +45,10 @@
   void Learn(const model::Job& job, Millis work, const model::Resources& peak);
 
   /// Returns the expected total run time at full speed.
-  Millis RunTime(const model::Job& job) const;
+  Millis ExpectedRunTime(const model::Job& job) const;
 
   /// Returns the expected resource usage; accelerators are as declared.
-  model::Resources Size(const model::Job& job) const;
+  model::Resources ExpectedSize(const model::Job& job) const;
 
   /// Returns the expected time that a job still needs at full speed.
   ///
--- a/packages/placement/include/laurelhall/placement/worker_evidence.h
+++ b/packages/placement/include/laurelhall/placement/worker_evidence.h
@@ -63,18 +63,18 @@
                    WallTime now);
 
   /// Returns whether the worker is quarantined and must get no jobs.
-  bool IsSetAside(std::string_view host, WallTime now) const;
+  bool IsWorkerQuarantined(std::string_view host, WallTime now) const;
 
   /// Returns whether the worker is in the backoff that follows a failure and
   /// must not start a job yet.
-  bool IsPaused(std::string_view host, WallTime now) const;
+  bool IsInBackoff(std::string_view host, WallTime now) const;
 
   /// Returns whether a job succeeded on the worker since its last failure that
   /// was not excused, as far as this leader has seen.
-  bool IsProven(std::string_view host) const;
+  bool SucceededSinceFailure(std::string_view host) const;
 
   /// Returns the sum of the evidence; 0 for a worker without a record.
-  int Score(std::string_view host) const;
+  int FaultScore(std::string_view host) const;
 
   /// Returns the record of the worker, or null.
   const WorkerRecord* Find(std::string_view host) const;
--- a/packages/placement/src/backfill.cc
+++ b/packages/placement/src/backfill.cc
@@ -58,7 +58,7 @@
     if (run.is_releasing || PriorityRank(*run.job) < queued.rank) {
       continue;
     }
-    const Millis estimate = context.estimates.RunTime(*run.job);
+    const Millis estimate = context.estimates.ExpectedRunTime(*run.job);
     const Millis work = WorkDone(*run.job, context.now);
     const int bound =
         run.job->can_checkpoint ? kCheckpointOverrunFactor : kStopOverrunFactor;
--- a/packages/placement/src/estimates.cc
+++ b/packages/placement/src/estimates.cc
@@ -86,7 +86,7 @@
   return found == m_windows.end() ? nullptr : &found->second;
 }
 
-Millis Estimates::RunTime(const model::Job& job) const {
+Millis Estimates::ExpectedRunTime(const model::Job& job) const {
   const Window* window = FindWindow(job);
   if (window == nullptr) {
     return job.declared_run_time;
@@ -96,7 +96,7 @@
       std::llround(static_cast<double>(job.declared_run_time.count()) * ratio));
 }
 
-model::Resources Estimates::Size(const model::Job& job) const {
+model::Resources Estimates::ExpectedSize(const model::Job& job) const {
   model::Resources size = job.declared;
   if (const Window* window = FindWindow(job)) {
     size.processors *= window->quantile[IndexOf(RatioKind::kProcessors)];
@@ -109,7 +109,7 @@
 }
 
 Millis Estimates::Remaining(const model::Job& job, Millis work) const {
-  const Millis until_estimate = RunTime(job) - work;
+  const Millis until_estimate = ExpectedRunTime(job) - work;
   const Millis after_overrun(
       std::llround(static_cast<double>(work.count()) * kOverrunRemainingShare));
   return until_estimate > Millis(0) ? until_estimate
--- a/packages/placement/src/explain.cc
+++ b/packages/placement/src/explain.cc
@@ -32,7 +32,7 @@
   lines.push_back(
       fmt::format("It waits in pool {} behind {} jobs.", job.pool, jobs_ahead));
   Ledger& ledger = context.ledger;
-  const auto size = context.estimates.Size(job);
+  const auto size = context.estimates.ExpectedSize(job);
   const TeamUsage& team = ledger.teams[ledger.FindTeam(job.team)];
   if (!ledger.IsGuaranteed(team, job, size)) {
     lines.push_back(fmt::format("Team {} uses {}; it runs beyond the quota {}.",
@@ -49,7 +49,7 @@
     lines.push_back("Its pool has no hosts.");
     return;
   }
-  const auto size = context.estimates.Size(job);
+  const auto size = context.estimates.ExpectedSize(job);
   int available = 0;
   int unavailable = 0;
   int with_room = 0;
@@ -98,8 +98,8 @@
   lines.push_back(fmt::format(
       "It declared {} for {}; like jobs of its team took {} for {}.",
       Describe(job.declared), FormatDuration(job.declared_run_time),
-      Describe(context.estimates.Size(job)),
-      FormatDuration(context.estimates.RunTime(job))));
+      Describe(context.estimates.ExpectedSize(job)),
+      FormatDuration(context.estimates.ExpectedRunTime(job))));
   if (job.deadline != WallTime{}) {
     lines.push_back("Its deadline is " + FormatWallTime(job.deadline) + ".");
   }
--- a/packages/placement/src/ledger.cc
+++ b/packages/placement/src/ledger.cc
@@ -117,9 +117,9 @@
     slot.free = host.capacity;
     slot.rack = FindOrAddIndex(m_rack_index, host.rack);
     slot.zone = FindOrAddIndex(m_zone_index, host.availability_zone);
-    slot.failure_score = evidence.Score(id);
+    slot.failure_score = evidence.FaultScore(id);
     slot.accepts_work = host.state == HostState::kInPool;
-    slot.last_run_succeeded = evidence.IsProven(id);
+    slot.last_run_succeeded = evidence.SucceededSinceFailure(id);
     const int index = static_cast<int>(hosts.size());
     m_host_index.emplace(id, index);
     hosts.push_back(std::move(slot));
@@ -143,9 +143,9 @@
     std::vector<std::pair<WallTime, int>> aside;
     for (const int index : pool.hosts) {
       const Host& host = *hosts[static_cast<size_t>(index)].host;
-      if (evidence.IsSetAside(host.id, now)) {
+      if (evidence.IsWorkerQuarantined(host.id, now)) {
         aside.emplace_back(evidence.Find(host.id)->set_aside_at, index);
-      } else if (evidence.IsPaused(host.id, now)) {
+      } else if (evidence.IsInBackoff(host.id, now)) {
         // Sorts after all hosts that are set aside.
         aside.emplace_back(now + kMinHealthyRunAge, index);
       }
--- a/packages/placement/src/queue.cc
+++ b/packages/placement/src/queue.cc
@@ -69,7 +69,7 @@
                                 WallTime now) {
   return static_cast<int>(std::count_if(
       job.failed_on.begin(), job.failed_on.end(), [&](const std::string& host) {
-        return !evidence.IsSetAside(host, now);
+        return !evidence.IsWorkerQuarantined(host, now);
       }));
 }
 
@@ -86,7 +86,7 @@
     queued.pool = pool;
     queued.team = context.ledger.FindTeam(job->team);
     queued.remaining = context.estimates.Remaining(*job, job->work_done);
-    queued.size = context.estimates.Size(*job);
+    queued.size = context.estimates.ExpectedSize(*job);
     ComputeOrder(context, queued);
     queue.push_back(queued);
   }
--- a/packages/placement/src/worker_evidence.cc
+++ b/packages/placement/src/worker_evidence.cc
@@ -94,12 +94,12 @@
                                         WallTime now) {
   bool failed_elsewhere = false;
   for (const std::string& other : job.failed_on) {
-    if (other == host || IsSetAside(other, now)) {
+    if (other == host || IsWorkerQuarantined(other, now)) {
       continue;
     }
     failed_elsewhere = true;
     const auto found = m_records.find(other);
-    if (found == m_records.end() || IsSetAside(host, now)) {
+    if (found == m_records.end() || IsWorkerQuarantined(host, now)) {
       continue;
     }
     if (FailureEvidence* failure = FindFailure(found->second, job.id)) {
@@ -164,13 +164,14 @@
   }
 }
 
-bool WorkerEvidence::IsSetAside(std::string_view host, WallTime now) const {
+bool WorkerEvidence::IsWorkerQuarantined(std::string_view host,
+                                         WallTime now) const {
   const WorkerRecord* record = Find(host);
   return record != nullptr && now < record->set_aside_until;
 }
 
 // Each failure that is not excused doubles the backoff, up to kMaxDoublings.
-bool WorkerEvidence::IsPaused(std::string_view host, WallTime now) const {
+bool WorkerEvidence::IsInBackoff(std::string_view host, WallTime now) const {
   const WorkerRecord* record = Find(host);
   if (record == nullptr) {
     return false;
@@ -185,11 +186,11 @@
   return now < record->last_failure + kInitialBackoff * (1 << doublings);
 }
 
-bool WorkerEvidence::IsProven(std::string_view host) const {
+bool WorkerEvidence::SucceededSinceFailure(std::string_view host) const {
   return m_succeeded_hosts.find(host) != m_succeeded_hosts.end();
 }
 
-int WorkerEvidence::Score(std::string_view host) const {
+int WorkerEvidence::FaultScore(std::string_view host) const {
   const WorkerRecord* record = Find(host);
   return record == nullptr ? 0 : ComputeScore(*record);
 }
--- a/packages/placement/tests/fake_workers.h
+++ b/packages/placement/tests/fake_workers.h
@@ -15,7 +15,7 @@
 
 // The actual usage, run time and outcome of a job, as opposed to what it
 // declared.
-struct TrueJob {
+struct ActualJob {
   model::Resources used;
   Millis run_time{0};
   bool fails = false;
@@ -35,7 +35,7 @@
   explicit FakeWorkers(WorkerInit init = {}) : m_init(init) {}
 
   model::Fleet fleet;  // The committed state.
-  std::map<std::string, TrueJob> truth;
+  std::map<std::string, ActualJob> truth;
   std::set<std::string> bad;     // Workers on which every job fails.
   std::set<std::string> silent;  // Workers cut off from the leader.
   std::map<std::string, double>
@@ -54,7 +54,7 @@
   // The current runs by job. Leases must prevent a second run of a job.
   std::map<std::string, std::vector<Run>> runs;
 
-  void Submit(model::Job job, const TrueJob& actual) {
+  void Submit(model::Job job, const ActualJob& actual) {
     truth[job.id] = actual;
     fleet.jobs[job.id] = std::move(job);
   }
@@ -113,7 +113,7 @@
                WallTime now,
                Millis by,
                std::vector<JobReport>& reports) {
-    const TrueJob& actual = truth.at(job.id);
+    const ActualJob& actual = truth.at(job.id);
     const bool is_current = (job.state == model::JobState::kRunning ||
                              job.state == model::JobState::kCheckpointing) &&
                             job.lease == run.lease;
--- a/packages/placement/tests/memory_test.cc
+++ b/packages/placement/tests/memory_test.cc
@@ -42,8 +42,8 @@
     m_estimates.Learn(job, std::chrono::minutes(is_outlier ? 300 : 20),
                       {2, is_outlier ? 100.0 : 4.0, 0});
   }
-  CHECK(m_estimates.RunTime(job) == std::chrono::minutes(20));
-  CHECK(m_estimates.Size(job).memory_gb == doctest::Approx(4.4));
+  CHECK(m_estimates.ExpectedRunTime(job) == std::chrono::minutes(20));
+  CHECK(m_estimates.ExpectedSize(job).memory_gb == doctest::Approx(4.4));
 }
 
 TEST_CASE_FIXTURE(MemoryFixture,
@@ -52,14 +52,14 @@
   for (int i = 1; i <= 16; ++i) {
     m_estimates.Learn(job, std::chrono::minutes(i), {2, 8, 0});
   }
-  CHECK(m_estimates.RunTime(job) == std::chrono::minutes(12));
+  CHECK(m_estimates.ExpectedRunTime(job) == std::chrono::minutes(12));
 }
 
 TEST_CASE_FIXTURE(MemoryFixture,
                   "Estimates, one ratio alone, the declared figure stands") {
   const model::Job job = MakeJob("j", "k");
   m_estimates.Learn(job, std::chrono::hours(5), {2, 8, 0});
-  CHECK(m_estimates.RunTime(job) == job.declared_run_time);
+  CHECK(m_estimates.ExpectedRunTime(job) == job.declared_run_time);
 }
 
 TEST_CASE_FIXTURE(MemoryFixture,
@@ -97,9 +97,9 @@
     const std::string name = std::to_string(i);
     FailOn(MakeJob("j" + name, "k" + name), {"h0", "h1"});
   }
-  CHECK(m_evidence.Score("h0") == 0);
-  CHECK(m_evidence.Score("h1") == 0);
-  CHECK_FALSE(m_evidence.IsPaused("h1", kNow));
+  CHECK(m_evidence.FaultScore("h0") == 0);
+  CHECK(m_evidence.FaultScore("h1") == 0);
+  CHECK_FALSE(m_evidence.IsInBackoff("h1", kNow));
 }
 
 TEST_CASE_FIXTURE(MemoryFixture,
@@ -108,16 +108,16 @@
   m_evidence.NoteFailure(job, "h0", kNow);
   job.failed_on = {"h0"};
   m_evidence.NoteSuccess(job, "h1", kNow);
-  CHECK_FALSE(m_evidence.IsSetAside("h0", kNow));
+  CHECK_FALSE(m_evidence.IsWorkerQuarantined("h0", kNow));
   m_evidence.NoteFailure(MakeJob("j1", "k"), "h0", kNow);
-  CHECK(m_evidence.IsSetAside("h0", kNow));
+  CHECK(m_evidence.IsWorkerQuarantined("h0", kNow));
   WorkerEvidence loaded;
   loaded.Load(m_evidence.Save());
-  CHECK(loaded.IsSetAside("h0", kNow));
-  CHECK_FALSE(loaded.IsSetAside("h0", kNow + std::chrono::hours(1)));
+  CHECK(loaded.IsWorkerQuarantined("h0", kNow));
+  CHECK_FALSE(loaded.IsWorkerQuarantined("h0", kNow + std::chrono::hours(1)));
   // After the quarantine one more failure starts a longer one.
   loaded.NoteFailure(MakeJob("j9", "k9"), "h0", kNow + std::chrono::hours(1));
-  CHECK(loaded.IsSetAside("h0", kNow + std::chrono::minutes(75)));
+  CHECK(loaded.IsWorkerQuarantined("h0", kNow + std::chrono::minutes(75)));
 }
 
 }  // namespace
--- a/packages/placement/tests/placer_test.cc
+++ b/packages/placement/tests/placer_test.cc
@@ -315,7 +315,7 @@
   Run(std::chrono::minutes(9));
   const int tries = m_workers.starts["h0"];
   CHECK(tries <= 6);
-  CHECK(m_placer.evidence().IsSetAside("h0", m_now));
+  CHECK(m_placer.evidence().IsWorkerQuarantined("h0", m_now));
   CHECK(Count(JobState::kSucceeded) == 400);
   Run(std::chrono::minutes(10));
   for (int i = 0; i < 400; ++i) {
@@ -342,7 +342,7 @@
   CHECK(first.failed_on.size() == 3);
   CHECK(first.reason.find("exit status 1") != std::string::npos);
   for (const auto& [id, host] : m_workers.fleet.hosts) {
-    CHECK_FALSE(m_placer.evidence().IsSetAside(id, m_now));
+    CHECK_FALSE(m_placer.evidence().IsWorkerQuarantined(id, m_now));
   }
 }
 
@@ -439,7 +439,7 @@
     Job& job =
         Submit("t", Priority::kStandard, {1, 4, 0}, std::chrono::minutes(1));
     job.kind = i % 2 == 0 ? "large" : "small";
-    TrueJob& actual = m_workers.truth[job.id];
+    ActualJob& actual = m_workers.truth[job.id];
     const double factor = i % 2 == 0 ? 10 : 0.1;
     actual.used = {1 * factor, 4 * factor, 0};
     actual.run_time = i % 2 == 0 ? Millis(600'000) : Millis(6'000);
@@ -453,10 +453,10 @@
   like.declared = {1, 4, 0};
   like.declared_run_time = std::chrono::minutes(1);
   const Estimates& estimates = m_placer.estimates();
-  CHECK(estimates.Size(like).memory_gb == doctest::Approx(44));
-  CHECK(estimates.RunTime(like) == std::chrono::minutes(10));
+  CHECK(estimates.ExpectedSize(like).memory_gb == doctest::Approx(44));
+  CHECK(estimates.ExpectedRunTime(like) == std::chrono::minutes(10));
   like.kind = "small";
-  CHECK(estimates.Size(like).memory_gb == doctest::Approx(0.44));
+  CHECK(estimates.ExpectedSize(like).memory_gb == doctest::Approx(0.44));
 }
 
 TEST_CASE_FIXTURE(
@@ -565,7 +565,7 @@
         is_urgent ? Millis(5'000) : Millis(60'000 + RandomBelow(300'000)));
     job.kind = "k" + std::to_string(RandomBelow(5));
     job.can_checkpoint = RandomBelow(2) == 0;
-    TrueJob& actual = m_workers.truth[job.id];
+    ActualJob& actual = m_workers.truth[job.id];
     actual.fails = RandomBelow(50) == 0 && !is_urgent;
     if (RandomBelow(5) == 0 && !is_urgent) {
       actual.used = {size.processors * 3, size.memory_gb * 0.2,
