--- a/packages/daemon/src/schedule_metrics.cc
+++ b/packages/daemon/src/schedule_metrics.cc
@@ -110,8 +110,8 @@
           .Set(static_cast<double>(counters.*total.count));
     }
   }
-  if (m_sight) {
-    ShowSight(m_sight());
+  if (m_scheduler_status) {
+    ShowSchedulerStatus(m_scheduler_status());
   }
   const DecisionLog& log = DecisionLog::Get();
   m_totals->Add({{"event", "dropped_decision_lines"}})
@@ -123,15 +123,18 @@
   return prometheus::TextSerializer().Serialize(m_registry.Collect());
 }
 
-void ScheduleMetrics::ShowSight(const dispatch::SchedulerStatus& sight) {
-  const std::lock_guard lock(m_sight_mutex);
-  m_tick_lag->Set(std::chrono::duration<double>(sight.tick_lag).count());
-  m_relays->Set(static_cast<double>(sight.relays));
-  m_jobs->Add({{"state", "open"}}).Set(static_cast<double>(sight.open_jobs));
+void ScheduleMetrics::ShowSchedulerStatus(
+    const dispatch::SchedulerStatus& scheduler_status) {
+  const std::lock_guard lock(m_status_mutex);
+  m_tick_lag->Set(
+      std::chrono::duration<double>(scheduler_status.tick_lag).count());
+  m_relays->Set(static_cast<double>(scheduler_status.relays));
+  m_jobs->Add({{"state", "open"}})
+      .Set(static_cast<double>(scheduler_status.open_jobs));
   m_jobs->Add({{"state", "waiting"}})
-      .Set(static_cast<double>(sight.waiting_jobs));
-  SetAll(*m_workers, "state", sight.workers);
-  SetAll(*m_waits, "why", sight.waits);
+      .Set(static_cast<double>(scheduler_status.waiting_jobs));
+  SetAll(*m_workers, "state", scheduler_status.workers);
+  SetAll(*m_waits, "why", scheduler_status.waits);
 }
 
 void ScheduleMetrics::OnRequest(std::shared_ptr<net::HttpExchange> exchange) {
--- a/packages/daemon/src/schedule_metrics_p.h
+++ b/packages/daemon/src/schedule_metrics_p.h
@@ -34,9 +34,11 @@
     m_source = std::move(source);
   }
 
-  /// Where a control host's sight is read when the page is asked for.
-  void SetSight(std::function<dispatch::SchedulerStatus()> sight) {
-    m_sight = std::move(sight);
+  /// Where a control host's scheduler status is read when the page is asked
+  /// for.
+  void SetSchedulerStatus(
+      std::function<dispatch::SchedulerStatus()> scheduler_status) {
+    m_scheduler_status = std::move(scheduler_status);
   }
 
   int64_t MaxBodyBytes(const net::HttpRequest&) override { return 0; }
@@ -46,7 +48,7 @@
   std::string Page();
 
  private:
-  void ShowSight(const dispatch::SchedulerStatus& sight);
+  void ShowSchedulerStatus(const dispatch::SchedulerStatus& scheduler_status);
 
   static constexpr size_t kKinds = std::variant_size_v<dispatch::Request>;
   static constexpr size_t kOutcomes =
@@ -62,8 +64,8 @@
   prometheus::Family<prometheus::Gauge>* m_workers = nullptr;
   prometheus::Family<prometheus::Gauge>* m_waits = nullptr;
   std::function<dispatch::DispatchCounters()> m_source;
-  std::function<dispatch::SchedulerStatus()> m_sight;
-  std::mutex m_sight_mutex;  // A page's gauges of the sight are set together.
+  std::function<dispatch::SchedulerStatus()> m_scheduler_status;
+  std::mutex m_status_mutex;  // A page's gauges of the status are set together.
 };
 
 }  // namespace laurelhall::daemon
--- a/packages/daemon/src/schedule_part.cc
+++ b/packages/daemon/src/schedule_part.cc
@@ -106,7 +106,8 @@
   m_server = std::make_unique<net::HttpServer>(m_threads, server, *m_api);
   StartRelay();
   m_metrics.SetSource([this] { return m_dispatcher->counters(); });
-  m_metrics.SetSight([this] { return m_dispatcher->sight(); });
+  m_metrics.SetSchedulerStatus(
+      [this] { return m_dispatcher->scheduler_status(); });
   m_metrics_server = ServeMetrics(m_threads, m_settings, m_metrics);
 }
 
--- a/packages/daemon/tests/schedule_metrics_test.cc
+++ b/packages/daemon/tests/schedule_metrics_test.cc
@@ -22,14 +22,14 @@
 }
 
 TEST_CASE("ScheduleMetrics, what a leader sees, stands on the page") {
-  dispatch::SchedulerStatus sight;
-  sight.tick_lag = Millis(60);
-  sight.open_jobs = 9;
-  sight.waiting_jobs = 4;
-  sight.workers = {{"usable", 5}, {"evacuated", 2}};
-  sight.waits = {{"no-worker", 1}};
+  dispatch::SchedulerStatus scheduler_status;
+  scheduler_status.tick_lag = Millis(60);
+  scheduler_status.open_jobs = 9;
+  scheduler_status.waiting_jobs = 4;
+  scheduler_status.workers = {{"usable", 5}, {"evacuated", 2}};
+  scheduler_status.waits = {{"no-worker", 1}};
   ScheduleMetrics metrics;
-  metrics.SetSight([&sight] { return sight; });
+  metrics.SetSchedulerStatus([&scheduler_status] { return scheduler_status; });
   const std::string page = metrics.Page();
   for (const char* line :
        {"laurelhall_schedule_tick_lag_seconds 0.06",
@@ -40,7 +40,7 @@
     CAPTURE(line);
     CHECK(page.find(line) != std::string::npos);
   }
-  sight.Clear();
+  scheduler_status.Clear();
   CHECK(metrics.Page().find(
             R"(laurelhall_schedule_workers{state="evacuated"} 0)") !=
         std::string::npos);
--- a/packages/dispatch/include/laurelhall/dispatch/dispatcher.h
+++ b/packages/dispatch/include/laurelhall/dispatch/dispatcher.h
@@ -147,7 +147,7 @@
   DispatchCounters counters() const;
 
   /// As of the last update by the dispatch thread. Thread-safe.
-  SchedulerStatus sight() const;
+  SchedulerStatus scheduler_status() const;
 
  private:
   class Impl;
--- a/packages/dispatch/src/crashes.cc
+++ b/packages/dispatch/src/crashes.cc
@@ -175,10 +175,11 @@
   const auto maintained = m_hosts.find(worker.info.host);
   const auto moved = m_moves.find(worker.info.host);
   return (maintained != m_hosts.end() &&
-          is_ended_by(maintained->second.life_before,
+          is_ended_by(maintained->second.incarnation_before,
                       maintained->second.acted_at)) ||
          (moved != m_moves.end() &&
-          is_ended_by(moved->second.life_before, moved->second.acted_at));
+          is_ended_by(moved->second.incarnation_before,
+                      moved->second.acted_at));
 }
 
 // Whether the worker announced that it is draining, or its host now serves
--- a/packages/dispatch/src/dispatcher.cc
+++ b/packages/dispatch/src/dispatcher.cc
@@ -159,9 +159,9 @@
     return m_published;
   }
 
-  SchedulerStatus sight() const {
+  SchedulerStatus scheduler_status() const {
     const std::lock_guard lock(m_counters_mutex);
-    return m_published_sight;
+    return m_published_status;
   }
 
  private:
@@ -181,10 +181,10 @@
     const std::lock_guard lock(m_counters_mutex);
     m_published = m_counters;
     if (m_leadership != nullptr) {
-      m_published_sight = m_leadership->sight();
-      m_published_sight.relays = m_relays.relays();
+      m_published_status = m_leadership->scheduler_status();
+      m_published_status.relays = m_relays.relays();
     } else {
-      m_published_sight.Clear();
+      m_published_status.Clear();
     }
   }
 
@@ -701,14 +701,14 @@
           ledger.IsOutdated(info.id, request.born, request.sequence) ||
           ledger.IsGone(info.id, request.born);
       is_service_known = worker != nullptr || HasService(ledger, info.service);
-      const bool is_same_life =
+      const bool is_known_incarnation =
           worker != nullptr &&
           (request.born == WallTime() || request.born == worker->born);
       // Draining is final for an incarnation: an announcement that denies it
       // is an older one that came late.
-      info.is_draining =
-          info.is_draining || (is_same_life && worker->info.is_draining);
-      is_known = is_same_life && worker->info == info;
+      info.is_draining = info.is_draining ||
+                         (is_known_incarnation && worker->info.is_draining);
+      is_known = is_known_incarnation && worker->info == info;
     });
     if (!is_service_known) {
       DecisionLog::Get().Write(DecisionLine("dispatch", "worker-refused")
@@ -867,7 +867,7 @@
   std::atomic<bool> m_is_leading{false};
   mutable std::mutex m_counters_mutex;  // Guards the two published copies.
   DispatchCounters m_published;
-  SchedulerStatus m_published_sight;
+  SchedulerStatus m_published_status;
 };
 
 Dispatcher::Dispatcher(const DispatcherInit& init)
@@ -920,8 +920,8 @@
   return m_impl->counters();
 }
 
-SchedulerStatus Dispatcher::sight() const {
-  return m_impl->sight();
+SchedulerStatus Dispatcher::scheduler_status() const {
+  return m_impl->scheduler_status();
 }
 
 }  // namespace laurelhall::dispatch
--- a/packages/dispatch/src/leadership_p.h
+++ b/packages/dispatch/src/leadership_p.h
@@ -211,7 +211,7 @@
   bool is_act_under_way = false;
   SteadyTime next_try{};
   WorkerIncarnation
-      life_before;          ///< The incarnation that the maintenance ends.
+      incarnation_before;   ///< The incarnation that the maintenance ends.
   SteadyTime acted_at{};    ///< When this leader sent the order, or zero.
   SteadyTime down_since{};  ///< Zero until the order was carried out.
   /// Since when its tasks wait for others that find no place, or zero.
@@ -247,7 +247,7 @@
   SteadyTime ordered_at{};  ///< When it was moved; zero while it is drained.
   bool is_act_under_way = false;
   SteadyTime acted_at{};  ///< When the order was sent; zero: not yet.
-  WorkerIncarnation life_before;
+  WorkerIncarnation incarnation_before;
 };
 
 /// Schedules jobs during one term of this control host as leader.
@@ -294,7 +294,7 @@
   }
 
   uint64_t term() const { return m_term; }
-  const SchedulerStatus& sight() const { return m_sight; }
+  const SchedulerStatus& scheduler_status() const { return m_scheduler_status; }
 
   /// Commits the record of a request in the next batch.
   ///
@@ -499,7 +499,7 @@
   void CommitEndedRuns(const std::string& worker,
                        uint64_t last_end,
                        Records records);
-  void EndLife(const WorkerIncarnation& incarnation, const char* why);
+  void EndIncarnation(const WorkerIncarnation& incarnation, const char* why);
   void EndReplacedIncarnation(const std::string& worker);
 
   // crashes.cc: lost workers and their runs.
@@ -701,8 +701,8 @@
   SteadyTime m_next_forget{};
   SteadyTime m_next_run_sync{};
   SteadyTime m_next_stops{};
-  SteadyTime m_next_sight{};
-  SchedulerStatus m_sight;  // As in the last report lines.
+  SteadyTime m_next_status{};
+  SchedulerStatus m_scheduler_status;  // As in the last report lines.
   // Above this tick lag, a third of the time between ticks, the leader makes
   // fewer and larger calls: a hold call then brings the ends of 60 ms instead
   // of a single end.
--- a/packages/dispatch/src/moves.cc
+++ b/packages/dispatch/src/moves.cc
@@ -121,7 +121,8 @@
            Now() - track.chosen_at > kMaxMoveDrainTime;
   }
   const Worker* worker = WorkerOn(ledger, host);
-  const bool is_back = worker != nullptr && !track.life_before.IsSame(*worker);
+  const bool is_back =
+      worker != nullptr && !track.incarnation_before.IsSame(*worker);
   // The end of its last incarnation must be committed, or the host would seem
   // to be in its old pool still.
   const bool is_parked =
@@ -189,7 +190,7 @@
     return;
   }
   const auto move = m_moves.find(worker.info.host);
-  if (move != m_moves.end() && move->second.life_before.IsSame(worker)) {
+  if (move != m_moves.end() && move->second.incarnation_before.IsSame(worker)) {
     return;
   }
   HostState& state = m_inventory[worker.info.host];
@@ -481,7 +482,7 @@
     return;
   }
   const Worker* worker = WorkerOn(ledger, host);
-  track.life_before = IncarnationOf(worker);
+  track.incarnation_before = IncarnationOf(worker);
   track.is_act_under_way = true;
   track.acted_at = now;
   HostAct act = MakeHostAct(host);
@@ -514,7 +515,7 @@
     HostState& state = m_inventory[host];
     state.pool = track.to;
     state.since = Now();
-    EndLife(track.life_before, "its host is moved");
+    EndIncarnation(track.incarnation_before, "its host is moved");
     PlanSoon();
   } else if (outcome == HostActOutcome::kRefused) {
     m_refused_moves.insert({host, track.to});
--- a/packages/dispatch/src/orders.cc
+++ b/packages/dispatch/src/orders.cc
@@ -926,8 +926,8 @@
   });
 }
 
-void Leadership::EndLife(const WorkerIncarnation& incarnation,
-                         const char* why) {
+void Leadership::EndIncarnation(const WorkerIncarnation& incarnation,
+                                const char* why) {
   Records records;
   m_log.Read([&](const Ledger& ledger) {
     SyncWorkers(ledger);
@@ -946,7 +946,7 @@
 void Leadership::EndReplacedIncarnation(const std::string& worker) {
   const auto link = m_links.find(worker);
   if (link != m_links.end()) {
-    EndLife({worker, link->second.born}, "another incarnation answers");
+    EndIncarnation({worker, link->second.born}, "another incarnation answers");
   }
 }
 
--- a/packages/dispatch/src/reports.cc
+++ b/packages/dispatch/src/reports.cc
@@ -64,10 +64,10 @@
 
 void Leadership::Report(const Ledger& ledger) {
   const SteadyTime now = Now();
-  if (now < m_next_sight) {
+  if (now < m_next_status) {
     return;
   }
-  m_next_sight = now + kStatusLinesPeriod;
+  m_next_status = now + kStatusLinesPeriod;
   ReportLoad(ledger);
   ReportWorkers(ledger);
   ReportWaits(ledger);
@@ -76,8 +76,8 @@
 
 // Shows whether the leader itself is the bottleneck.
 void Leadership::ReportLoad(const Ledger& ledger) {
-  m_sight.tick_lag = m_tick_lag;
-  m_sight.open_jobs = ledger.open_jobs().size();
+  m_scheduler_status.tick_lag = m_tick_lag;
+  m_scheduler_status.open_jobs = ledger.open_jobs().size();
   DecisionLog::Get().Write(
       DecisionLine("dispatch", "load")
           .With("term", m_term)
@@ -95,12 +95,12 @@
 // Counts the usable workers of each service, and the others by what excludes
 // them.
 void Leadership::ReportWorkers(const Ledger& ledger) {
-  m_sight.workers = ZeroCounts<Eligibility>(EligibilityName);
+  m_scheduler_status.workers = ZeroCounts<Eligibility>(EligibilityName);
   std::map<std::string, EligibilityCounts> services;
   for (const auto& [id, worker] : ledger.workers()) {
     const Eligibility eligibility = EligibilityOf(worker, m_links.at(id));
     ++services[worker.info.service][static_cast<size_t>(eligibility)];
-    ++m_sight.workers[static_cast<size_t>(eligibility)].count;
+    ++m_scheduler_status.workers[static_cast<size_t>(eligibility)].count;
   }
   for (const auto& [service, counts] : services) {
     DecisionLine line("dispatch", "workers");
@@ -154,8 +154,8 @@
       waiting.emplace_back(seen->second, &job);
     }
   }
-  m_sight.waiting_jobs = waiting.size();
-  m_sight.waits =
+  m_scheduler_status.waiting_jobs = waiting.size();
+  m_scheduler_status.waits =
       ZeroCounts<scheduling::StartObstacle>(scheduling::StartObstacleName);
   const size_t reported_count = std::min(kMaxReportedWaits, waiting.size());
   std::partial_sort(waiting.begin(),
@@ -171,7 +171,7 @@
     if (!outlook) {
       continue;
     }
-    ++m_sight.waits[static_cast<size_t>(outlook->obstacle)].count;
+    ++m_scheduler_status.waits[static_cast<size_t>(outlook->obstacle)].count;
     DecisionLog::Get().Write(
         DecisionLine("dispatch", "waits")
             .With("job", job.id)
--- a/packages/dispatch/src/waves.cc
+++ b/packages/dispatch/src/waves.cc
@@ -284,10 +284,10 @@
     // An incarnation from before the maintenance may announce itself late, so
     // only one that is there after the maintenance period counts as new.
     const bool is_back = worker != nullptr &&
-                         !track.life_before.IsSame(*worker) &&
+                         !track.incarnation_before.IsSame(*worker) &&
                          away >= m_init.bounds.maintenance;
     const bool is_off_host_back =
-        track.life_before.id.empty() &&
+        track.incarnation_before.id.empty() &&
         away > std::chrono::duration_cast<Millis>(m_init.bounds.maintenance *
                                                   kOffReturnPeriods);
     const bool is_lost = away > kLostAfterPeriods * m_init.bounds.maintenance;
@@ -323,7 +323,7 @@
       CountHostsDown(wave, host) >= wave.opened.most_at_once) {
     return;
   }
-  track.life_before = IncarnationOf(worker);
+  track.incarnation_before = IncarnationOf(worker);
   track.is_act_under_way = true;
   track.acted_at = now;
   if (wave.hosts.at(host) == WaveStage::kOrdered) {
@@ -386,7 +386,7 @@
   if (outcome == HostActOutcome::kDone) {
     track.down_since = Now();
     // Taking the host down ended the incarnation of its worker.
-    EndLife(track.life_before, "its host is maintained");
+    EndIncarnation(track.incarnation_before, "its host is maintained");
   } else if (outcome == HostActOutcome::kRefused) {
     // The host no longer exists, so there is nothing to maintain.
     Commit({scheduling::WaveHostStageSet{wave, host, WaveStage::kDone}},
--- a/packages/dispatch/tests/life_schedule_test.cc
+++ b/packages/dispatch/tests/life_schedule_test.cc
@@ -15,9 +15,9 @@
 constexpr int kWorkers = 8;
 constexpr RelayBounds kFewRelays{2, 3};
 
-class LifeSchedule {
+class RestartSchedule {
  public:
-  LifeSchedule(uint64_t seed, const DispatchMutations& mutations)
+  RestartSchedule(uint64_t seed, const DispatchMutations& mutations)
       : m_has_relays(seed % 2 == 0),
         m_world(seed, mutations, m_has_relays ? kFewRelays : RelayBounds()) {
     for (int worker = 0; worker < kWorkers; ++worker) {
@@ -186,7 +186,7 @@
 // LAURELHALL_SEEDS sets the number of seeds, LAURELHALL_FIRST_SEED the first.
 TEST_CASE("Dispatcher, seeded worker restarts, nothing runs twice or is lost") {
   for (const uint64_t seed : SeedsToRun(40)) {
-    for (const std::string& wrong : LifeSchedule(seed, {}).Play()) {
+    for (const std::string& wrong : RestartSchedule(seed, {}).Play()) {
       FAIL_CHECK("seed ", seed, ": ", wrong);
     }
   }
@@ -209,7 +209,7 @@
       840,  // As 97.
   };
   for (const uint64_t seed : seeds) {
-    for (const std::string& wrong : LifeSchedule(seed, {}).Play()) {
+    for (const std::string& wrong : RestartSchedule(seed, {}).Play()) {
       FAIL_CHECK("seed ", seed, ": ", wrong);
     }
   }
@@ -222,7 +222,7 @@
   mutations.is_incarnation_ignored = true;
   bool is_noticed = false;
   for (uint64_t seed = 1; seed <= 25 && !is_noticed; ++seed) {
-    is_noticed = !LifeSchedule(seed, mutations).Play().empty();
+    is_noticed = !RestartSchedule(seed, mutations).Play().empty();
   }
   CHECK(is_noticed);
 }
--- a/packages/dispatch/tests/relay_test.cc
+++ b/packages/dispatch/tests/relay_test.cc
@@ -27,7 +27,9 @@
     }
   }
 
-  uint64_t relays() const { return world.sights()[world.leader()].relays; }
+  uint64_t relays() const {
+    return world.scheduler_statuses()[world.leader()].relays;
+  }
 
   World world{7, {}, kSmallBounds};
 };
--- a/packages/dispatch/tests/sight_test.cc
+++ b/packages/dispatch/tests/scheduler_status_test.cc
@@ -7,28 +7,28 @@
 namespace laurelhall::dispatch {
 namespace {
 
-struct SightFixture {
+struct SchedulerStatusFixture {
   /// Sum over all control hosts; those that do not lead report zero.
   uint64_t Workers(const std::string& state) const {
     uint64_t sum = 0;
-    for (const SchedulerStatus& sight : world.sights()) {
-      sum += CountOf(sight.workers, state);
+    for (const SchedulerStatus& scheduler_status : world.scheduler_statuses()) {
+      sum += CountOf(scheduler_status.workers, state);
     }
     return sum;
   }
 
   uint64_t Waits(const std::string& why) const {
     uint64_t sum = 0;
-    for (const SchedulerStatus& sight : world.sights()) {
-      sum += CountOf(sight.waits, why);
+    for (const SchedulerStatus& scheduler_status : world.scheduler_statuses()) {
+      sum += CountOf(scheduler_status.waits, why);
     }
     return sum;
   }
 
   uint64_t Sum(uint64_t SchedulerStatus::*count) const {
     uint64_t sum = 0;
-    for (const SchedulerStatus& sight : world.sights()) {
-      sum += sight.*count;
+    for (const SchedulerStatus& scheduler_status : world.scheduler_statuses()) {
+      sum += scheduler_status.*count;
     }
     return sum;
   }
@@ -54,15 +54,17 @@
   World world{7};
 };
 
-TEST_CASE_FIXTURE(SightFixture, "Sight, idle workers, counted as usable") {
+TEST_CASE_FIXTURE(SchedulerStatusFixture,
+                  "SchedulerStatus, idle workers, counted as usable") {
   world.AddWorkers(3);
   world.Advance(Millis(3'000));
   CHECK(Workers("usable") == 3);
   CHECK(Sum(&SchedulerStatus::open_jobs) == 0);
 }
 
-TEST_CASE_FIXTURE(SightFixture,
-                  "Sight, no worker, job waits with reason no-worker") {
+TEST_CASE_FIXTURE(
+    SchedulerStatusFixture,
+    "SchedulerStatus, no worker, job waits with reason no-worker") {
   world.Submit("a", {LongStep(2)});
   world.Advance(Millis(4'000));
   CHECK(Sum(&SchedulerStatus::open_jobs) == 1);
@@ -70,8 +72,8 @@
   CHECK(Waits("no-worker") == 1);
 }
 
-TEST_CASE_FIXTURE(SightFixture,
-                  "Sight, leader changes, old leader reports zero") {
+TEST_CASE_FIXTURE(SchedulerStatusFixture,
+                  "SchedulerStatus, leader changes, old leader reports zero") {
   world.AddWorkers(3);
   world.Submit("a", {LongStep(1)});
   world.Advance(Millis(3'000));
--- a/packages/dispatch/tests/world.cc
+++ b/packages/dispatch/tests/world.cc
@@ -1398,12 +1398,12 @@
   }
 }
 
-std::vector<SchedulerStatus> World::sights() const {
-  std::vector<SchedulerStatus> sights;
+std::vector<SchedulerStatus> World::scheduler_statuses() const {
+  std::vector<SchedulerStatus> scheduler_statuses;
   for (const auto& host : m_hosts) {
-    sights.push_back(host->dispatcher->sight());
+    scheduler_statuses.push_back(host->dispatcher->scheduler_status());
   }
-  return sights;
+  return scheduler_statuses;
 }
 
 }  // namespace laurelhall::dispatch
--- a/packages/dispatch/tests/world.h
+++ b/packages/dispatch/tests/world.h
@@ -260,8 +260,8 @@
   }
   /// Runs that were active on a host when it was taken down.
   size_t cut_off() const { return m_cut_off; }
-  /// The sight() of each control host.
-  std::vector<SchedulerStatus> sights() const;
+  /// The scheduler_status() of each control host.
+  std::vector<SchedulerStatus> scheduler_statuses() const;
   std::mt19937_64& random() { return m_random; }
 
   CallFaults call_faults;
--- a/packages/scheduling/src/ledger.cc
+++ b/packages/scheduling/src/ledger.cc
@@ -160,9 +160,10 @@
                         WallTime born,
                         uint64_t sequence) const {
   const Worker* known = FindWorker(worker);
-  const bool is_other_life = known != nullptr && born != WallTime() &&
-                             known->born != WallTime() && born != known->born;
-  if (is_other_life) {
+  const bool is_other_incarnation = known != nullptr && born != WallTime() &&
+                                    known->born != WallTime() &&
+                                    born != known->born;
+  if (is_other_incarnation) {
     return born < known->born;
   }
   return known != nullptr && sequence != 0 && sequence < known->sequence;
